--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -125,7 +125,7 @@
       roster.workers.reserve(count);
       for (std::size_t i = 0; i < count; ++i) {
         WorkerEntry entry;
-        entry.since = static_cast<Micros>(Take<std::uint64_t>("roster"));
+        entry.started_at = static_cast<Micros>(Take<std::uint64_t>("roster"));
         entry.id = TakeWorker();
         entry.zone = Take<std::uint8_t>("roster");
         entry.weight = Take<float>("roster");
@@ -157,7 +157,7 @@
       request.deadline = static_cast<Micros>(Take<std::uint64_t>("demand"));
       const auto hint = Take<std::uint32_t>("demand");
       if ((attrs & 1) != 0 && hint > 0) request.hint = hint;
-      request.client_repeat = (attrs & 2) != 0;
+      request.client_retry = (attrs & 2) != 0;
       request.tenant = Take<std::uint16_t>("demand");
       record = request;
       break;
@@ -208,7 +208,7 @@
       record = Stop{};
       break;
     case kStatusNote: {
-      Note note;
+      AttemptProgress note;
       note.id = Take<std::uint64_t>("status_note");
       note.attempt = Take<std::uint8_t>("status_note");
       TakeWorker();
@@ -260,7 +260,7 @@
       out.Put(ClampU32(a.time_limit));
       out.PutWorker(a.worker);
     }
-    void operator()(const Refuse& a) const {
+    void operator()(const Shed& a) const {
       out.Code(kPushBack);
       out.Put<std::uint64_t>(a.id);
       out.Put(ClampU32(a.retry_after));
--- a/adapter/codec.h
+++ b/adapter/codec.h
@@ -55,7 +55,7 @@
   Metrics metrics;
 };
 using Record = std::variant<TargetInstance, Boot, Roster, MembershipRef, Stop, PeerData, RawOutcome,
-                            RawProbeResult, Request, StreamStarted, Note, TimerDue, ClientGone>;
+                            RawProbeResult, Request, StreamStarted, AttemptProgress, TimerDue, ClientGone>;
 
 struct FrameHeader {
   std::uint32_t length = 0;
--- a/adapter/drill.cpp
+++ b/adapter/drill.cpp
@@ -63,7 +63,7 @@
     Handle(node, now, *request);
   } else if (const auto* started = std::get_if<StreamStarted>(&record)) {
     Handle(node, now, *started);
-  } else if (const auto* note = std::get_if<Note>(&record)) {
+  } else if (const auto* note = std::get_if<AttemptProgress>(&record)) {
     Handle(node, now, *note);
   } else if (const auto* timer = std::get_if<TimerDue>(&record)) {
     Handle(node, now, *timer);
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -79,26 +79,28 @@
 ClassSettings ParseClass(const Values& values, const std::string& path) {
   ClassSettings out;
   out.aim = values.RequiredTime(path + "aim");
-  out.stretch = values.Number(path + "aimStretch", out.stretch);
+  out.aim_stretch = values.Number(path + "aimStretch", out.aim_stretch);
   out.deadline = values.RequiredTime(path + "deadline");
-  out.key_window = values.Time(path + "keyTtl", out.key_window);
+  out.key_ttl = values.Time(path + "keyTtl", out.key_ttl);
   out.late_worth = values.Number(path + "lateWorth", out.late_worth);
   out.worth = values.Number(path + "value", out.worth);
   out.stream = values.Flag(path + "stream", out.stream);
-  const auto* effect = values.Find(path + "idempotency");
-  if (!effect) throw SettingsError("settings: required key " + path + "idempotency is missing");
-  if (*effect == "idempotent") {
-    out.effect = Effect::kSafe;
-  } else if (*effect == "deduplicated") {
-    out.effect = Effect::kKeyed;
-  } else if (*effect == "at_most_once") {
-    out.effect = Effect::kUnsafe;
+  const auto* idempotency = values.Find(path + "idempotency");
+  if (!idempotency) throw SettingsError("settings: required key " + path + "idempotency is missing");
+  if (*idempotency == "idempotent") {
+    out.idempotency = Idempotency::kIdempotent;
+  } else if (*idempotency == "deduplicated") {
+    out.idempotency = Idempotency::kDeduplicated;
+  } else if (*idempotency == "at_most_once") {
+    out.idempotency = Idempotency::kAtMostOnce;
   } else {
     throw SettingsError("settings: key " + path + "idempotency cannot be read");
   }
   // The narrowest scope is the safe reading of a value that is absent or not known.
   const auto scope = values.Text(path + "keyScope", "cell");
-  out.scope = scope == "all" ? RepeatScope::kAll : scope == "zone" ? RepeatScope::kZone : RepeatScope::kCell;
+  out.dedup_scope = scope == "all"    ? DedupScope::kAll
+                    : scope == "zone" ? DedupScope::kZone
+                                      : DedupScope::kCell;
   return out;
 }
 
@@ -117,7 +119,7 @@
     ClassSettings parsed = ParseClass(values, "classes." + std::to_string(i) + ".");
     if (at < kinds.size()) parsed.kind = static_cast<int>(kinds[at]);
     if (at < priorities.size()) parsed.priority = static_cast<int>(priorities[at]);
-    if (at < stretches.size()) parsed.stretch = stretches[at];
+    if (at < stretches.size()) parsed.aim_stretch = stretches[at];
     s.classes.push_back(parsed);
   }
   const int tenants = values.Count("tenants.count", values.Number("tenants.count", 0));
@@ -131,11 +133,11 @@
   s.max_attempts = static_cast<int>(values.Required("limits.maxAttempts"));
   s.may_probe = values.Flag("limits.probes", s.may_probe);
   s.may_cancel = values.Flag("limits.mayCancel", s.may_cancel);
-  s.second_copies = values.Flag("limits.secondCopies", s.second_copies);
-  s.worker_tells_start = values.Flag("familyInfo.tellsStart", s.worker_tells_start);
+  s.concurrent_attempts = values.Flag("limits.secondCopies", s.concurrent_attempts);
+  s.worker_reports_start = values.Flag("familyInfo.tellsStart", s.worker_reports_start);
   s.progress_every = values.Time("familyInfo.progress", s.progress_every);
-  s.must_ask = values.Text("registryMode", "push") == "ask";
-  s.ask_every = s.must_ask ? values.RequiredTime("rules.askEvery") : 0;
+  s.must_subscribe = values.Text("registryMode", "push") == "ask";
+  s.subscribe_every = s.must_subscribe ? values.RequiredTime("rules.askEvery") : 0;
   s.stop_sending_within = values.Time("rules.stopSendingWithin", s.stop_sending_within);
   s.over_share_worth = values.Number("overShareWorth", s.over_share_worth);
   s.worth_by_work = values.Text("countedBy", "request") == "work";
@@ -143,10 +145,10 @@
   s.queue_order = order == "priority"   ? QueueOrder::kPriority
                   : order == "backfill" ? QueueOrder::kBackfill
                                         : QueueOrder::kFifo;
-  s.cold_from = values.Required("rules.coldFrom");
-  s.warm_up = values.RequiredTime("rules.warmUp");
+  s.slow_start_floor = values.Required("rules.coldFrom");
+  s.slow_start_time = values.RequiredTime("rules.warmUp");
   s.overload_factor = values.Required("rules.overloadFactor");
-  s.fall_window = values.RequiredTime("rules.fall");
+  s.overload_window = values.RequiredTime("rules.fall");
   s.price_cross_zone = values.Number("prices.crossZone", s.price_cross_zone);
   s.price_probe = values.Number("prices.probe", s.price_probe);
   s.tick = values.Time("tick", s.tick);
--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -14,7 +14,7 @@
   pebblenotch::Settings s;
   s.classes.resize(3);
   s.classes[2].worth = 10;
-  s.warm_up = 6'000'000;
+  s.slow_start_time = 6'000'000;
   return s;
 }
 
@@ -24,7 +24,7 @@
     std::vector<pebblenotch::WorkerEntry> fleet(1000);
     for (std::size_t i = 0; i < fleet.size(); ++i) {
       fleet[i].id = i + 1;
-      if (i % 4 == 0) fleet[i].since = now;  // a quarter is cold
+      if (i % 4 == 0) fleet[i].started_at = now;  // a quarter is cold
     }
     limits.RoutesChanged(now, fleet, true);
     for (int i = 0; i < 2000; ++i) {
--- a/bench/slow_start/world.cpp
+++ b/bench/slow_start/world.cpp
@@ -72,19 +72,19 @@
   explicit World(const Plan& plan) : plan_(plan), random_(plan.seed) {
     pebblenotch::ClassSettings c;
     c.aim = 1'200'000;
-    c.stretch = 1.75;
+    c.aim_stretch = 1.75;
     c.deadline = kDeadline;
-    c.effect = pebblenotch::Effect::kSafe;
+    c.idempotency = pebblenotch::Idempotency::kIdempotent;
     site_.classes = {c};
     site_.nodes = plan.told_processes > 0 ? plan.told_processes : plan.processes;
     site_.max_attempts = 3;
     site_.may_cancel = true;
-    site_.reports_in_answers = site_.worker_tells_start = true;
+    site_.reports_in_answers = site_.worker_reports_start = true;
     site_.may_probe = plan.probes;
-    site_.cold_from = plan.cold_from;
-    site_.warm_up = plan.warm_up;
+    site_.slow_start_floor = plan.cold_from;
+    site_.slow_start_time = plan.warm_up;
     site_.overload_factor = plan.overload_factor;
-    site_.fall_window = plan.window;
+    site_.overload_window = plan.window;
     servers_.resize(static_cast<std::size_t>(plan.servers));
     processes_.resize(static_cast<std::size_t>(plan.processes));
     const Micros first = plan.starts_together ? plan.returns_at + kNotice : 0;
@@ -201,8 +201,8 @@
       if (p.heard[i].first != started) p.heard[i] = {started, now_};
       // As discovery::RouteTable dates a start.
       const Micros heard = p.heard[i].second;
-      e.claimed_since = std::clamp<Micros>(started - plan_.clock_error, 1, heard);
-      e.since = heard;
+      e.claimed_started_at = std::clamp<Micros>(started - plan_.clock_error, 1, heard);
+      e.started_at = heard;
     }
     e.state = servers_[i].up ? pebblenotch::WorkerState::kReady : pebblenotch::WorkerState::kGone;
     return e;
@@ -233,7 +233,7 @@
     pebblenotch::Request r;
     r.id = id;
     r.deadline = now_ + kDeadline;
-    r.client_repeat = client.tries > 1;
+    r.client_retry = client.tries > 1;
     Feed(static_cast<std::size_t>(client.process), r);
   }
 
@@ -253,7 +253,7 @@
            process << 20 | static_cast<std::uint64_t>(p.life), timer->label);
       } else if (const auto* probe = std::get_if<pebblenotch::Probe>(&action)) {
         At(2 * kLink, Kind::kProbed, process, probe->worker - 1);
-      } else if (const auto* refuse = std::get_if<pebblenotch::Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<pebblenotch::Shed>(&action)) {
         Again(refuse->id);
       } else if (const auto* fail = std::get_if<pebblenotch::Fail>(&action)) {
         Again(fail->id);
--- a/bench/storm/world.cpp
+++ b/bench/storm/world.cpp
@@ -96,24 +96,25 @@
     for (int c = 0; c < 3; ++c) {
       pebblenotch::ClassSettings s;
       s.aim = plan.aim;
-      s.stretch = plan.stretch;
+      s.aim_stretch = plan.stretch;
       s.deadline = plan.deadline;
       s.worth = c == 0 ? 1 : c == 1 ? 2 : 10;
-      s.effect = c == 0 ? pebblenotch::Effect::kSafe : pebblenotch::Effect::kKeyed;
-      s.key_window = 20 * kS;
+      s.idempotency =
+          c == 0 ? pebblenotch::Idempotency::kIdempotent : pebblenotch::Idempotency::kDeduplicated;
+      s.key_ttl = 20 * kS;
       s.late_worth = 0.3;
       site.classes.push_back(s);
     }
     site.nodes = plan.schedulers;
     site.max_attempts = 3;
     site.may_cancel = false;
-    site.reports_in_answers = site.worker_tells_start = true;
+    site.reports_in_answers = site.worker_reports_start = true;
     site.worth_by_work = true;
     site.may_probe = plan.probes;
-    site.cold_from = plan.cold_from;
-    site.warm_up = plan.warm_up;
+    site.slow_start_floor = plan.cold_from;
+    site.slow_start_time = plan.warm_up;
     site.overload_factor = kFallFactor;
-    site.fall_window = kFallWindow;
+    site.overload_window = kFallWindow;
     workers_.resize(static_cast<std::size_t>(plan.workers));
     clients_.resize(static_cast<std::size_t>(plan.clients));
     for (std::size_t i = 0; i < clients_.size(); ++i) clients_[i].at_once = Unit() < plan.at_once;
@@ -317,7 +318,7 @@
     a.request.id = ticket;
     a.request.job_class = c.job_class;
     a.request.deadline = r.deadline;
-    a.request.client_repeat = c.tries > 1;
+    a.request.client_retry = c.tries > 1;
     if (!plan_.unnamed) a.client = std::to_string(who) + "-" + std::to_string(c.serial);
     if (OfFresh(r)) ++out_.fresh.asked;
     At(plan_.deadline, Kind::kGaveUp, 0, ticket);
@@ -530,11 +531,11 @@
       const Worker& w = workers_[static_cast<std::size_t>(i)];
       pebblenotch::WorkerEntry e;
       e.id = static_cast<core::TargetId>(i + 1);
-      e.since = w.since;
+      e.started_at = w.since;
       e.state = w.listed ? pebblenotch::WorkerState::kReady : pebblenotch::WorkerState::kGone;
       routes.entries.push_back(e);
-      if (w.listed && e.since > now_ - plan_.warm_up)
-        Saw(scheduler, {cluster::FactKind::kStarted, e.id, e.since});
+      if (w.listed && e.started_at > now_ - plan_.warm_up)
+        Saw(scheduler, {cluster::FactKind::kStarted, e.id, e.started_at});
     }
     Post(scheduler, std::move(routes));
   }
--- a/include/pebblenotch/brain.h
+++ b/include/pebblenotch/brain.h
@@ -30,8 +30,12 @@
 using RequestId = std::uint64_t;  // never used twice
 using WorkerId = std::uint64_t;   // opaque; the same id stays with a worker over restarts of its process
 
-enum class Effect : std::uint8_t { kSafe, kKeyed, kUnsafe };   // may a request be repeated?
-enum class RepeatScope : std::uint8_t { kAll, kZone, kCell };  // which workers drop a keyed request's repeats
+enum class Idempotency : std::uint8_t {
+  kIdempotent,
+  kDeduplicated,
+  kAtMostOnce
+};                                                            // may a request be repeated?
+enum class DedupScope : std::uint8_t { kAll, kZone, kCell };  // which workers drop a keyed request's repeats
 enum class QueueOrder : std::uint8_t { kFifo, kBackfill, kPriority };
 enum class WorkerState : std::uint8_t { kGone, kReady, kDraining };
 enum class ListKind : std::uint8_t { kChanges, kWhole, kCached, kFailed };
@@ -44,11 +48,11 @@
 
 struct ClassSettings {
   Micros aim = 1'000'000;        // an answer within this time is worth everything,
-  double stretch = 0;            // extended by this multiple of the job's own running time
+  double aim_stretch = 0;        // extended by this multiple of the job's own running time
   Micros deadline = 10'000'000;  // the client waits no longer
-  Effect effect = Effect::kUnsafe;
-  RepeatScope scope = RepeatScope::kAll;
-  Micros key_window = 0;  // for how long repeats of a keyed request are dropped
+  Idempotency idempotency = Idempotency::kAtMostOnce;
+  DedupScope dedup_scope = DedupScope::kAll;
+  Micros key_ttl = 0;     // for how long repeats of a keyed request are dropped
   double late_worth = 0;  // share of the worth that an answer after the aim still has
   double worth = 1;
   int kind = -1;  // the one kind of worker that runs this class; -1: any
@@ -71,22 +75,22 @@
   int max_attempts = 1;
   bool may_probe = false;
   bool may_cancel = false;
-  bool second_copies = false;
+  bool concurrent_attempts = false;
   bool reports_in_answers = false;
-  bool worker_tells_start = false;
+  bool worker_reports_start = false;
   Micros progress_every = 0;
-  bool must_ask = false;  // the worker list comes only when subscribed to
-  Micros ask_every = 0;   // an unsubscribed node must ask at least this often
+  bool must_subscribe = false;  // the worker list comes only when subscribed to
+  Micros subscribe_every = 0;   // an unsubscribed node must ask at least this often
   // For so long attempts may go on at a worker after this node was told that it drains or is gone.
   Micros stop_sending_within = 0;
   double over_share_worth = 1;
   bool worth_by_work = false;
   QueueOrder queue_order = QueueOrder::kFifo;
   // Figures of the rules.
-  double cold_from = 0.3;  // a worker starts with at least this share of its capacity
-  Micros warm_up = 10'000'000;
+  double slow_start_floor = 0.3;  // a worker starts with at least this share of its capacity
+  Micros slow_start_time = 10'000'000;
   double overload_factor = 3;
-  Micros fall_window = 2'000'000;
+  Micros overload_window = 2'000'000;
   // Prices, in points of service for each unit.
   double price_cross_zone = 0;
   double price_probe = 0;
@@ -109,10 +113,10 @@
   WorkerId id = 0;
   int zone = 0, kind = 0, cell = 0;
   double weight = 1;
-  Micros since = 0;  // last start of its process, at the latest that it can have been; 0: long ago
+  Micros started_at = 0;  // last start of its process, at the latest that it can have been; 0: long ago
   // The start as clocks that may be wrong tell it, where that is earlier; 0: no other than `since`. It makes
   // the worker no warmer than the settings allow at any age.
-  Micros claimed_since = 0;
+  Micros claimed_started_at = 0;
   WorkerState state = WorkerState::kReady;
   std::uint64_t groups = 0;  // a bit for each of the host's groups of workers that it belongs to
 };
@@ -121,7 +125,7 @@
   std::span<const WorkerEntry> workers;
 };
 // How a request stands to the times that refused clients were given to come back at.
-enum class Standing : std::uint8_t { kNew, kDue, kEarly };
+enum class ReturnTiming : std::uint8_t { kNew, kDue, kEarly };
 struct Request {
   RequestId id = 0;
   int job_class = 0, tenant = 0;
@@ -129,10 +133,11 @@
   std::optional<Micros> hint;  // expected running time on a standard core
   double slots = 1, memory = 0;
   std::uint64_t key = 0;  // the program or data set that the job needs and workers keep; 0: none
-  bool client_repeat = false;
-  Standing standing = Standing::kNew;  // due: it goes before new ones of its class; early: it is refused
-  int priority = 0;                    // 0 to 15: among held jobs of equal worth the higher goes first
-  std::uint64_t only = 0;              // it goes only to workers that belong to all of these groups
+  bool client_retry = false;
+  ReturnTiming return_timing =
+      ReturnTiming::kNew;             // due: it goes before new ones of its class; early: it is refused
+  int priority = 0;                   // 0 to 15: among held jobs of equal worth the higher goes first
+  std::uint64_t required_groups = 0;  // it goes only to workers that belong to all of these groups
 };
 struct Outcome {
   RequestId id = 0;
@@ -147,7 +152,7 @@
   RequestId id = 0;
   int attempt = 0;
 };
-struct Note {  // from an attempt that is still out
+struct AttemptProgress {  // from an attempt that is still out
   RequestId id = 0;
   int attempt = 0;
   bool started = false;  // the job has started; otherwise `share_done` tells its progress
@@ -171,21 +176,21 @@
 };
 // Figures of the host's limits, which the decisions keep to; in force until the next. As they stand here,
 // they limit nothing.
-struct Allowance {
-  double starts_per_s = 0;  // held jobs that leave a second; 0: not known
-  double slack_share = 1;   // of its time to spare, that a job may be expected to wait
-  double most_out = 1e9;    // attempts out at once
-  std::uint64_t further_hops =
-      ~0ULL;                  // a bit for each class: attempts beyond the first are within the budget
-  bool late_is_lost = false;  // what can no longer start in time is given up
+struct HostLimits {
+  double starts_per_s = 0;       // held jobs that leave a second; 0: not known
+  double slack_share = 1;        // of its time to spare, that a job may be expected to wait
+  double max_outstanding = 1e9;  // attempts out at once
+  std::uint64_t retryable_classes =
+      ~0ULL;               // a bit for each class: attempts beyond the first are within the budget
+  bool shed_late = false;  // what can no longer start in time is given up
 };
 // How many dispatchers there are now, where the host knows better than `Settings::nodes`. In force at once;
 // the host sees to it that it falls slowly, as each may then do more.
 struct TierSize {
   int nodes = 1;
 };
-using Event = std::variant<Membership, Request, Outcome, StreamStarted, Note, ProbeResult, TimerDue,
-                           ClientGone, AnswerNow, Allowance, TierSize>;
+using Event = std::variant<Membership, Request, Outcome, StreamStarted, AttemptProgress, ProbeResult,
+                           TimerDue, ClientGone, AnswerNow, HostLimits, TierSize>;
 
 // ---- actions
 // ---------------------------------------------------------------------------------------------------
@@ -194,7 +199,7 @@
   WorkerId worker;
   Micros time_limit;  // 0: until the client gives up
 };
-struct Refuse {  // final answer: a retry is harmless
+struct Shed {  // final answer: a retry is harmless
   RequestId id;
   Micros retry_after;  // 0: no advice
 };
@@ -213,7 +218,7 @@
   Micros at;
   std::uint32_t label;
 };
-using Action = std::variant<Push, Refuse, Fail, Cancel, Probe, Subscribe, ArmTimer>;
+using Action = std::variant<Push, Shed, Fail, Cancel, Probe, Subscribe, ArmTimer>;
 
 class Dispatcher {
  public:
@@ -230,7 +235,7 @@
   std::vector<double> DrawChances(int job_class) const;
 
   // Pushes to workers in slow start that no token allowed: a fault of this module, where there are any.
-  std::uint64_t UntokenedSends() const;
+  std::uint64_t PushesWithoutToken() const;
 
  private:
   class Impl;
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -60,7 +60,7 @@
     s_.zones = std::max(1, s_.zones);
     s_.zone = std::clamp(s_.zone, 0, s_.zones - 1);
     s_.kinds = std::clamp(s_.kinds, 1, 64);
-    s_.warm_up = std::max<Micros>(s_.warm_up, 1);
+    s_.slow_start_time = std::max<Micros>(s_.slow_start_time, 1);
     groups_.resize(static_cast<std::size_t>(s_.zones) * s_.kinds);
     for (const auto& c : s_.classes) {
       usual_run_.push_back(static_cast<double>(c.aim));
@@ -87,7 +87,7 @@
     actions_ = nullptr;
   }
 
-  std::uint64_t UntokenedSends() const { return untokened_sends_; }
+  std::uint64_t PushesWithoutToken() const { return pushes_without_token_; }
   std::vector<double> DrawChances(int job_class) const {
     std::vector<double> chances(workers_.size(), 0.0);
     if (job_class < 0 || job_class >= static_cast<int>(s_.classes.size())) return chances;
@@ -106,25 +106,26 @@
   // ---- worker table
   Micros Jitter(Micros t) { return static_cast<Micros>((0.5 + random_.Unit()) * static_cast<double>(t)); }
   int GroupOf(const Worker& w) const { return w.zone * s_.kinds + w.kind; }
-  bool Cold(const Worker& w) const { return w.since > 0 && now_ < w.since + s_.warm_up; }
+  bool Cold(const Worker& w) const { return w.started_at > 0 && now_ < w.started_at + s_.slow_start_time; }
   // A start that clocks claim to be no older than what takes it to be noticed is dated between that and
   // when it was heard of. Clocks that are wrong by seconds then cost a small part of the slow start at
   // most.
   Micros DatedStart(const WorkerEntry& e) const {
-    const Micros age = e.since - e.claimed_since;
-    if (e.claimed_since <= 0 || age <= 0 || age > kNoticed) return e.since;
-    return e.since - std::min(age / 2, s_.warm_up / 4);
+    const Micros age = e.started_at - e.claimed_started_at;
+    if (e.claimed_started_at <= 0 || age <= 0 || age > kNoticed) return e.started_at;
+    return e.started_at - std::min(age / 2, s_.slow_start_time / 4);
   }
   // Of its capacity, at the least. Where clocks only claim that it is older than can be proved, no more
   // than a worker of any age may get: part of what the settings allow one that has just started.
   double WarmShare(const Worker& w) const {
-    const double proved = ShareAtAge(now_ - w.since);
-    if (w.claimed_since <= 0 || w.claimed_since >= w.since) return proved;
-    const double at_any_age = std::min(1.0, kUnprovedPart * s_.overload_factor * s_.cold_from);
-    return std::max(proved, std::min(at_any_age, ShareAtAge(now_ - w.claimed_since)));
+    const double proved = ShareAtAge(now_ - w.started_at);
+    if (w.claimed_started_at <= 0 || w.claimed_started_at >= w.started_at) return proved;
+    const double at_any_age = std::min(1.0, kUnprovedPart * s_.overload_factor * s_.slow_start_floor);
+    return std::max(proved, std::min(at_any_age, ShareAtAge(now_ - w.claimed_started_at)));
   }
   double ShareAtAge(Micros age) const {
-    return std::min(1.0, s_.cold_from + (1 - s_.cold_from) * static_cast<double>(age) / s_.warm_up);
+    return std::min(
+        1.0, s_.slow_start_floor + (1 - s_.slow_start_floor) * static_cast<double>(age) / s_.slow_start_time);
   }
 
   int BucketOf(const Worker& w) const {
@@ -290,7 +291,8 @@
       if (at == ring_.end()) at = ring_.begin();
       const Worker& w = workers_[at->second];
       const int need = job.kind_of_job->kind;
-      const bool meant = r.only != 0 ? (w.groups & r.only) == r.only : w.zone == s_.zone;
+      const bool meant =
+          r.required_groups != 0 ? (w.groups & r.required_groups) == r.required_groups : w.zone == s_.zone;
       if (w.state == WorkerState::kGone || !meant || (need >= 0 && w.kind != need)) continue;
       --left;
       if (w.bucket < 0 || (fit >> w.bucket & 1) == 0) continue;
@@ -310,8 +312,8 @@
   void On(const Request& r) {
     const bool known_class = r.job_class >= 0 && r.job_class < static_cast<int>(s_.classes.size());
     if (jobs_.contains(r.id)) return;
-    if (!known_class || r.deadline <= now_ || r.standing == Standing::kEarly)
-      return actions_->push_back(Refuse{r.id, 0});
+    if (!known_class || r.deadline <= now_ || r.return_timing == ReturnTiming::kEarly)
+      return actions_->push_back(Shed{r.id, 0});
     const double passed = static_cast<double>(now_ - std::exchange(last_arrival_, now_));
     gap_ += 0.05 * (passed - gap_);
     shed_ *= std::max(0.0, 1 - passed / kShedFade);
@@ -325,7 +327,7 @@
     job.born = r.deadline - patience;
     if (r.key != 0) job.key_share = key_shares_.Count(r.key);
     const double run = ExpectedRun(job);
-    const Micros aim = job.born + c.aim + static_cast<Micros>((c.stretch - 1) * run);
+    const Micros aim = job.born + c.aim + static_cast<Micros>((c.aim_stretch - 1) * run);
     job.give_up = std::min(aim + static_cast<Micros>(kLateRuns * run), r.deadline - 2 * kHoldStep);
     job.useful_until = std::min(aim, job.give_up);
     job.density = c.worth / (s_.worth_by_work ? 1 : std::max(run, 1.0));
@@ -345,7 +347,7 @@
 
   // The order in which held jobs are looked at: by what they are worth for their work, what is late last.
   static double Turn(const Job& job) {
-    const double due = job.request.standing == Standing::kDue ? 1e-6 : 0;
+    const double due = job.request.return_timing == ReturnTiming::kDue ? 1e-6 : 0;
     const double density = job.density * (1 + due + 1e-5 * std::clamp(job.request.priority, 0, 15));
     return job.late ? -density * job.kind_of_job->late_worth : -1e6 - density;
   }
@@ -353,10 +355,10 @@
   // Sends the job, or holds it where no worker can take it now, or ends it where it can no longer be served.
   void Start(Job& job) {
     const int left = s_.max_attempts - job.tries();
-    const bool lost = job.kind_of_job->effect == Effect::kUnsafe && job.MayHaveRun();
+    const bool lost = job.kind_of_job->idempotency == Idempotency::kAtMostOnce && job.MayHaveRun();
     const bool spent =
-        job.tries() > 0 && (allow_.further_hops >> std::min(job.request.job_class, 63) & 1) == 0;
-    const bool too_late = now_ > (allow_.late_is_lost ? job.useful_until : job.give_up);
+        job.tries() > 0 && (allow_.retryable_classes >> std::min(job.request.job_class, 63) & 1) == 0;
+    const bool too_late = now_ > (allow_.shed_late ? job.useful_until : job.give_up);
     if (lost || spent || left <= 0 || too_late) return End(job);
     if (SendCopy(job, left > 1 || job.tries() == 0) || job.held) return;
     if (Hopeless(job)) return End(job);
@@ -376,7 +378,7 @@
     double ahead = 0;
     for (int c = 0; c < static_cast<int>(waiting_.size()); ++c)
       ahead += density(c) >= density(own) ? waiting_[c] : 0;
-    const double share = job.request.standing == Standing::kDue ? 1 : allow_.slack_share;
+    const double share = job.request.return_timing == ReturnTiming::kDue ? 1 : allow_.slack_share;
     return ahead * 1e6 / allow_.starts_per_s > share * static_cast<double>(job.useful_until - now_);
   }
 
@@ -384,19 +386,19 @@
   bool MaySend(const Job& job, const Worker& to) const {
     const ClassSettings& c = *job.kind_of_job;
     for (const Attempt& a : job.attempts) {
-      if (a.out && !s_.second_copies) return false;
-      if (a.never_ran || c.effect == Effect::kSafe) continue;
-      if (c.effect == Effect::kUnsafe || now_ - a.sent >= c.key_window) return false;
+      if (a.out && !s_.concurrent_attempts) return false;
+      if (a.never_ran || c.idempotency == Idempotency::kIdempotent) continue;
+      if (c.idempotency == Idempotency::kAtMostOnce || now_ - a.sent >= c.key_ttl) return false;
       const Worker& first = workers_[a.worker];
-      if (c.scope == RepeatScope::kZone && first.zone != to.zone) return false;
-      if (c.scope == RepeatScope::kCell && first.cell != to.cell) return false;
+      if (c.dedup_scope == DedupScope::kZone && first.zone != to.zone) return false;
+      if (c.dedup_scope == DedupScope::kCell && first.cell != to.cell) return false;
     }
     return true;
   }
 
   // Draws a worker that this job has not been to and sends. False where there is none.
   bool SendCopy(Job& job, bool may_queue) {
-    if (out_ >= allow_.most_out) return false;
+    if (out_ >= allow_.max_outstanding) return false;
     ForgetOldReports();
     std::vector<Index> aside;
     for (const Attempt& a : job.attempts) SetAside(a.worker, aside);
@@ -406,8 +408,8 @@
       const Request& r = job.request;
       drawn = DrawNearKey(job, false);
       if (!drawn)
-        drawn = r.only != 0 ? DrawNearKey(job, true)
-                            : Draw(PoolFor(r.job_class, r.slots, job.tries(), may_queue));
+        drawn = r.required_groups != 0 ? DrawNearKey(job, true)
+                                       : Draw(PoolFor(r.job_class, r.slots, job.tries(), may_queue));
       if (!drawn || MaySend(job, workers_[*drawn])) break;
       SetAside(*drawn, aside);
       drawn.reset();
@@ -419,7 +421,7 @@
   }
   // Exception "cold token": a token is for the next push that may go there; in the draw it lapses unused.
   Index Tokened(const Job& job) const {  // the table's size where no worker holds one
-    const int need = job.request.only == 0 && gap_ >= kTokenLife ? job.kind_of_job->kind : -2;
+    const int need = job.request.required_groups == 0 && gap_ >= kTokenLife ? job.kind_of_job->kind : -2;
     const auto holds = [&](const Worker& w) {
       return now_ < w.token_until && w.bucket >= 0 && w.bucket < kFull && (need == -1 || need == w.kind) &&
              MaySend(job, w);
@@ -440,7 +442,7 @@
     Worker& w = workers_[i];
     Unhold(job);
     w.own.push_back(now_);
-    untokened_sends_ += Cold(w) && now_ >= w.token_until ? 1 : 0;
+    pushes_without_token_ += Cold(w) && now_ >= w.token_until ? 1 : 0;
     w.token_until = 0;  // a cold worker's token is spent
     Rebucket(i);
     const int attempt = job.tries();
@@ -448,7 +450,7 @@
     last_start_[job.request.job_class] = now_;
     ++out_;
     actions_->push_back(Push{job.request.id, w.id, 0});
-    if (s_.worker_tells_start)
+    if (s_.worker_reports_start)
       timers_.Set(now_ + kStartGrace, TimerKind::kStartCheck, job.request.id, attempt);
   }
 
@@ -461,9 +463,9 @@
   // The final answer: a refusal where the rules allow to say that a retry is harmless, else a failure.
   void End(Job& job) {
     const ClassSettings& c = *job.kind_of_job;
-    const bool refusable = c.effect == Effect::kSafe || !job.MayHaveRun() ||
-                           (c.effect == Effect::kKeyed && c.scope == RepeatScope::kAll);
-    actions_->push_back(refusable ? Action(Refuse{job.request.id, Jitter(kComeBack)})
+    const bool refusable = c.idempotency == Idempotency::kIdempotent || !job.MayHaveRun() ||
+                           (c.idempotency == Idempotency::kDeduplicated && c.dedup_scope == DedupScope::kAll);
+    actions_->push_back(refusable ? Action(Shed{job.request.id, Jitter(kComeBack)})
                                   : Action(Fail{job.request.id}));
     Finish(job);
   }
@@ -578,7 +580,7 @@
     shed_ = std::clamp(shed_ + kShedStep * ((late ? 1.0 : 0.0) - kLateStarts), 0.0, 0.95);
   }
 
-  void On(const Note& n) {
+  void On(const AttemptProgress& n) {
     Job* found = Find(n.id, n.attempt);
     if (found == nullptr || !n.started || found->attempts[n.attempt].started >= 0) return;
     Job& job = *found;
@@ -602,7 +604,7 @@
 
   void On(const StreamStarted&) {}
 
-  void On(const Allowance& a) { allow_ = a; }
+  void On(const HostLimits& a) { allow_ = a; }
   void On(const TierSize& t) { s_.nodes = std::max(1, t.nodes); }
 
   void On(const ClientGone& g) {
@@ -617,11 +619,11 @@
   void On(const Membership& m) {
     if (m.kind == ListKind::kFailed) {
       // Back off, apart from the others: a list service that all ask at once answers nobody.
-      ask_wait_ = std::min(ask_wait_ * 2, std::max<Micros>(kSecond, s_.ask_every));
-      if (s_.must_ask) timers_.Set(now_ + Jitter(ask_wait_), TimerKind::kSubscribe, 0);
+      ask_wait_ = std::min(ask_wait_ * 2, std::max<Micros>(kSecond, s_.subscribe_every));
+      if (s_.must_subscribe) timers_.Set(now_ + Jitter(ask_wait_), TimerKind::kSubscribe, 0);
       return;
     }
-    if (m.kind == ListKind::kCached && s_.must_ask) {
+    if (m.kind == ListKind::kCached && s_.must_subscribe) {
       timers_.Set(now_ + static_cast<Micros>(random_.Unit() * 2 * kSecond), TimerKind::kSubscribe, 0);
     } else {
       ask_wait_ = kSecond / 2;
@@ -648,20 +650,20 @@
     }
     Worker& w = workers_[i];
     if (w.bucket >= 0) groups_[GroupOf(w)].Move(workers_, i, -1);  // its group may change
-    const bool restarted = is_new || w.told_since != e.since;
+    const bool restarted = is_new || w.told_since != e.started_at;
     if (restarted) {  // what was known of the process before tells nothing of this one
       const bool listed_cold = w.in_slow_start;
       w = Worker{};
       w.in_slow_start = listed_cold;
     }
-    const Micros dated = w.since;
+    const Micros dated = w.started_at;
     static_cast<WorkerEntry&>(w) = e;
-    w.told_since = e.since;
-    if (!restarted) w.since = dated;
+    w.told_since = e.started_at;
+    if (!restarted) w.started_at = dated;
     w.zone = std::clamp(e.zone, 0, s_.zones - 1);
     w.kind = std::clamp(e.kind, 0, s_.kinds - 1);
     w.listed = list_;
-    if (restarted) w.since = DatedStart(w);
+    if (restarted) w.started_at = DatedStart(w);
     if (restarted && Cold(w)) BeginSlowStart(i);
     Rebucket(i);
   }
@@ -700,12 +702,13 @@
   Micros TokenLife() const {
     if (gap_ < kTokenLife) return kTokenLife;
     const double budget_windows = s_.overload_factor / (2 * ColdPart()) - 1;
-    return std::max(kTokenLife, static_cast<Micros>(static_cast<double>(s_.fall_window) * budget_windows));
+    return std::max(kTokenLife,
+                    static_cast<Micros>(static_cast<double>(s_.overload_window) * budget_windows));
   }
   void BeginSlowStart(Index i) {
     Worker& w = workers_[i];
     w.token_credit = random_.Unit();  // nodes must not send their first in one moment
-    timers_.Set(w.since + s_.warm_up, TimerKind::kReturn, i);
+    timers_.Set(w.started_at + s_.slow_start_time, TimerKind::kReturn, i);
     if (!std::exchange(w.in_slow_start, true)) slow_starters_.push_back(i);
   }
 
@@ -749,7 +752,7 @@
 void Dispatcher::handle(Micros now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
-std::uint64_t Dispatcher::UntokenedSends() const { return impl_->UntokenedSends(); }
+std::uint64_t Dispatcher::PushesWithoutToken() const { return impl_->PushesWithoutToken(); }
 std::vector<double> Dispatcher::DrawChances(int job_class) const { return impl_->DrawChances(job_class); }
 
 }  // namespace pebblenotch
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -88,7 +88,7 @@
     ++counters_.hops;
     ++CountsOf(job.job_class).sends;
     effects_->push_back(SendHop{push->id, hop, push->worker, now_ + limit, job.durable, job.home});
-  } else if (const auto* refuse = std::get_if<pebblenotch::Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<pebblenotch::Shed>(&action)) {
     const auto it = jobs_.find(refuse->id);
     const bool told = limits_ && it != jobs_.end() && !it->second.answered;
     FinalAnswer(refuse->id, AnswerKind::kShed,
@@ -115,14 +115,14 @@
 bool Reducer::MayBegin(const Job& job, Micros limit) {
   Invariants& invariants = counters_.invariants;
   const auto at = static_cast<std::size_t>(job.job_class);
-  const bool unsafe =
-      at < settings_.classes.size() && settings_.classes[at].effect == pebblenotch::Effect::kUnsafe;
+  const bool unsafe = at < settings_.classes.size() &&
+                      settings_.classes[at].idempotency == pebblenotch::Idempotency::kAtMostOnce;
   bool out = false, may_have_run = false;
   for (std::size_t i = 0; i + 1 < job.hops.size(); ++i) {
     out |= job.hops[i].state != HopState::kEnded;
     may_have_run |= job.hops[i].may_have_run;
   }
-  const bool alone = invariants.Check(Invariant::kOneAttemptOut, !out || settings_.second_copies);
+  const bool alone = invariants.Check(Invariant::kOneAttemptOut, !out || settings_.concurrent_attempts);
   const bool repeatable = invariants.Check(Invariant::kRepeatAllowed, !(unsafe && may_have_run));
   const bool in_time = invariants.Check(Invariant::kTimeLeft, limit <= job.deadline - now_);
   return alone && repeatable && in_time;
@@ -130,7 +130,7 @@
 
 Invariants Reducer::invariants() const {
   Invariants all = counters_.invariants;
-  all.Count(Invariant::kSlowStartToken, module_.UntokenedSends());
+  all.Count(Invariant::kSlowStartToken, module_.PushesWithoutToken());
   return all;
 }
 
@@ -158,8 +158,8 @@
   if (!e.tenant.empty()) ++tenants_.At(job.tenant = tenants_.Of(e.tenant)).taken;
   if (limits_) {
     job.client = limits_->HashOf(e.client, job.job_class);
-    job.came = limits_->Arrived(now_, job.job_class, job.client, e.request.client_repeat, e.client_is_job);
-    e.request.standing = job.came.standing;
+    job.came = limits_->Arrived(now_, job.job_class, job.client, e.request.client_retry, e.client_is_job);
+    e.request.return_timing = job.came.return_timing;
   }
   // Guards the first rule at the end of a planned stop: what comes after the late arrivals' answers were
   // due would find the program killed unanswered; it is refused at once, and its client comes again,
@@ -198,7 +198,7 @@
   switch (e.news) {
     case News::kStarted:
     case News::kRunning:
-      return Tell(pebblenotch::Note{ticket, n, e.news == News::kStarted, e.share});
+      return Tell(pebblenotch::AttemptProgress{ticket, n, e.news == News::kStarted, e.share});
     case News::kDone:
       FinalAnswer(ticket, AnswerKind::kServed, 0, std::move(e.result));
       return EndHop(ticket, n, Result::kOk, e.report, true);
--- a/src/discovery/route_table.cpp
+++ b/src/discovery/route_table.cpp
@@ -33,13 +33,13 @@
 // When a process that is heard of now started, at the latest and as the clocks claim.
 void RouteTable::DateStart(Route& route, const ClockReading& now) {
   WorkerEntry& entry = route.entry;
-  entry.since = entry.claimed_since = route.told_start;
+  entry.started_at = entry.claimed_started_at = route.told_start;
   if (route.told_start <= 0 || now.steady == 0) return;
   const core::Micros stepped = now.steady - now.wall;
-  if (std::abs(stepped) > kSameClock) entry.claimed_since += stepped;
-  entry.claimed_since = std::clamp<core::Micros>(entry.claimed_since, 1, now.steady);
-  const core::Micros age = now.steady - entry.claimed_since;
-  entry.since = age >= kBeyondDoubt ? entry.claimed_since : now.steady;
+  if (std::abs(stepped) > kSameClock) entry.claimed_started_at += stepped;
+  entry.claimed_started_at = std::clamp<core::Micros>(entry.claimed_started_at, 1, now.steady);
+  const core::Micros age = now.steady - entry.claimed_started_at;
+  entry.started_at = age >= kBeyondDoubt ? entry.claimed_started_at : now.steady;
 }
 
 std::optional<core::RoutesChanged> RouteTable::Take(const Json::Value& answer, core::ListKind least,
@@ -92,10 +92,10 @@
     const bool heard_before = !kept.name.empty() && kept.told_start == told.told_start;
     if (!heard_before) DateStart(told, now);
     // Guards a cold target against a list that is older than others' word of its start.
-    const bool heard_later = kept.heard_since > told.entry.claimed_since;
+    const bool heard_later = kept.heard_since > told.entry.claimed_started_at;
     if (heard_before || heard_later) {
-      told.entry.since = kept.entry.since;
-      told.entry.claimed_since = kept.entry.claimed_since;
+      told.entry.started_at = kept.entry.started_at;
+      told.entry.claimed_started_at = kept.entry.claimed_started_at;
       told.heard_since = kept.heard_since;
     }
     out.entries[i] = told.entry;
@@ -113,10 +113,10 @@
                                                        const ClockReading& now) {
   const auto it = routes_.find(id);
   if (it == routes_.end() || it->second.state == WorkerState::kGone ||
-      it->second.entry.claimed_since >= since)
+      it->second.entry.claimed_started_at >= since)
     return std::nullopt;
-  it->second.heard_since = it->second.entry.claimed_since = since;
-  it->second.entry.since = std::max(since, now.steady);
+  it->second.heard_since = it->second.entry.claimed_started_at = since;
+  it->second.entry.started_at = std::max(since, now.steady);
   return core::RoutesChanged{core::ListKind::kChanges, {it->second.entry}};
 }
 
--- a/src/discovery/route_table.h
+++ b/src/discovery/route_table.h
@@ -46,7 +46,7 @@
   // where it is changes to a list before the one that is known: then the table is as it was.
   //
   // A start that is new here counts from `now.steady`: that the process began earlier is only claimed, by two
-  // wall clocks of which either may be wrong (WorkerEntry::claimed_since). An age beyond kBeyondDoubt is
+  // wall clocks of which either may be wrong (WorkerEntry::claimed_started_at). An age beyond kBeyondDoubt is
   // believed.
   std::optional<core::RoutesChanged> Take(const Json::Value& answer, core::ListKind least,
                                           const ClockReading& now = {});
--- a/src/durable/job_book.cpp
+++ b/src/durable/job_book.cpp
@@ -51,8 +51,8 @@
 bool JobBook::MayRepeat(const Job& job, Micros now) const {
   const ClassRules& c = RulesOf(job);
   if (job.epoch >= static_cast<std::uint32_t>(c.most_leases)) return false;
-  if (job.may_have_run_since < 0 || c.effect == Effect::kSafe) return true;
-  return c.effect == Effect::kKeyed && now >= job.may_have_run_since &&
+  if (job.may_have_run_since < 0 || c.effect == Idempotency::kIdempotent) return true;
+  return c.effect == Idempotency::kDeduplicated && now >= job.may_have_run_since &&
          job.may_have_run_since > clock_broke_ && now - job.may_have_run_since < c.key_window;
 }
 
@@ -60,10 +60,10 @@
   const Job* job = Find(id);
   if (job == nullptr || job->state != State::kWaiting || !MayRepeat(*job, now)) return false;
   const ClassRules& c = RulesOf(*job);
-  if (job->may_have_run_since < 0 || c.effect == Effect::kSafe) return true;
+  if (job->may_have_run_since < 0 || c.effect == Idempotency::kIdempotent) return true;
   // Guards against a repeat that meets workers which know nothing of the first run.
-  return c.scope == RepeatScope::kAll || (c.scope == RepeatScope::kZone && to.zone == job->first.zone) ||
-         (c.scope == RepeatScope::kCell && to.cell == job->first.cell && to.zone == job->first.zone);
+  return c.scope == DedupScope::kAll || (c.scope == DedupScope::kZone && to.zone == job->first.zone) ||
+         (c.scope == DedupScope::kCell && to.cell == job->first.cell && to.zone == job->first.zone);
 }
 
 std::optional<Record> JobBook::Lease(Micros now, const std::string& id, const Holder& to) const {
--- a/src/durable/job_book.h
+++ b/src/durable/job_book.h
@@ -31,9 +31,9 @@
 
 namespace heronway::durable {
 
-using pebblenotch::Effect;
+using pebblenotch::DedupScope;
+using pebblenotch::Idempotency;
 using pebblenotch::Micros;
-using pebblenotch::RepeatScope;
 using WorkerId = std::uint64_t;
 
 // Where a worker stands, for classes whose repeats must meet the same group of workers.
@@ -44,8 +44,8 @@
 };
 
 struct ClassRules {
-  Effect effect = Effect::kUnsafe;
-  RepeatScope scope = RepeatScope::kAll;
+  Idempotency effect = Idempotency::kAtMostOnce;
+  DedupScope scope = DedupScope::kAll;
   Micros key_window = 0;        // from the first lease that may have run, workers drop a keyed job's repeats
   Micros lease = 1'000'000;     // that a worker has from its last sign of life; over a stall of 240 ms by far
   Micros keep = 3'600'000'000;  // that an answer is kept for those who come for it again
--- a/src/durable/keeper.cpp
+++ b/src/durable/keeper.cpp
@@ -15,8 +15,8 @@
 std::vector<ClassRules> Keeper::RulesOf(const Settings& settings, const pebblenotch::Settings& site) {
   std::vector<ClassRules> out;
   for (const auto& c : site.classes)
-    out.push_back({c.effect, c.scope, c.key_window, settings.lease, settings.keep, settings.keep_failed,
-                   settings.most_leases});
+    out.push_back({c.idempotency, c.dedup_scope, c.key_ttl, settings.lease, settings.keep,
+                   settings.keep_failed, settings.most_leases});
   return out;
 }
 
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -124,7 +124,7 @@
     arrived.hop_limit = spec.reserve_for;
     // Which targets it may go to is asked anew, as rules may have changed; the rest was judged when it came.
     if (rules_ != nullptr)
-      arrived.request.only =
+      arrived.request.required_groups =
           rules_->Judge(shared_.loop.Now(), AsRequest(spec, stored->text.size()), true).only;
   } catch (const Fault&) {
     return driver_.Post(core::RoundVoid{e.id});
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -24,8 +24,8 @@
 // Workers come to this scheduler alone and tell their load themselves: there is no list to ask for, none to
 // probe, and no other node that sends to them.
 pebblenotch::Settings FleetOf(pebblenotch::Settings settings) {
-  settings.must_ask = settings.may_probe = false;
-  settings.reports_in_answers = settings.worker_tells_start = settings.may_cancel = true;
+  settings.must_subscribe = settings.may_probe = false;
+  settings.reports_in_answers = settings.worker_reports_start = settings.may_cancel = true;
   settings.nodes = 1;
   return settings;
 }
@@ -308,7 +308,7 @@
   arrived.request.deadline = job.deadline;
   arrived.request.key = spec.key;
   arrived.request.priority = judged.priority;
-  arrived.request.only = judged.only;
+  arrived.request.required_groups = judged.only;
   arrived.tenant = tenant;
   driver_.Post(std::move(arrived));
 }
@@ -530,7 +530,7 @@
   pebblenotch::WorkerEntry entry;
   entry.id = worker.target;
   entry.zone = worker.zone;
-  entry.since = entry.claimed_since = worker.since;
+  entry.started_at = entry.claimed_started_at = worker.since;
   entry.state = state;
   if (rules_ != nullptr)
     entry.groups = rules_->GroupsOf(
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -208,7 +208,7 @@
   r.key = job->key;
   r.priority = job->priority;
   ReadExtra(message, r);
-  if (rules_ != nullptr) r.only = rules_->Judge(shared_.loop.Now(), AsRequest(message), true).only;
+  if (rules_ != nullptr) r.required_groups = rules_->Judge(shared_.loop.Now(), AsRequest(message), true).only;
   pending_bytes_ += message.size();
   pending_.emplace(r.id, Pending{nullptr, e.id, std::move(message)});
   driver_.Post(std::move(arrived));
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -441,8 +441,8 @@
 void Front::TellFleetOf(const core::RoutesChanged& change) {
   if (!tell_fleet_) return;
   for (const auto& entry : change.entries) {
-    if (entry.claimed_since > shared_.loop.Now() - config_.module.settings.warm_up)
-      tell_fleet_({cluster::FactKind::kStarted, entry.id, entry.claimed_since, false});
+    if (entry.claimed_started_at > shared_.loop.Now() - config_.module.settings.slow_start_time)
+      tell_fleet_({cluster::FactKind::kStarted, entry.id, entry.claimed_started_at, false});
   }
 }
 
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -116,7 +116,8 @@
   r.job_class = static_cast<int>(job_class - config_.classes.begin());
   const auto& settings = config_.module.settings.classes[static_cast<std::size_t>(r.job_class)];
   // Without a key a repeat would have its effect twice.
-  if (settings.effect == pebblenotch::Effect::kKeyed && message.Find("Idempotency-Key") == nullptr)
+  if (settings.idempotency == pebblenotch::Idempotency::kDeduplicated &&
+      message.Find("Idempotency-Key") == nullptr)
     return refuse(400, "Idempotency-Key is missing");
   // The class says how long its clients wait at most. Guards what is made of that against a client that
   // claims to wait for ever.
@@ -136,9 +137,9 @@
   if (judged.key) r.key = *judged.key;
   if (judged.repeats) arrived.most_hops = *judged.repeats + 1;
   r.priority = judged.priority;
-  r.only = judged.only;
+  r.required_groups = judged.only;
   arrived.tenant = judged.tenant.value_or("");
-  if (const auto* retry = message.Find("Req-Retry")) r.client_repeat = *retry == "1";
+  if (const auto* retry = message.Find("Req-Retry")) r.client_retry = *retry == "1";
   ReadExtra(message, r);
   arrived.id = *id;
   if (!alias.empty() && look_up_job_) return LookUp(in, std::move(message), std::move(arrived), alias);
--- a/src/limits/fleet_ramp.cpp
+++ b/src/limits/fleet_ramp.cpp
@@ -12,7 +12,7 @@
     if (m.ready && !ready) m.left = now;
     if (ready) m.left = -1;
     m.ready = ready;
-    m.since = e.since;
+    m.since = e.started_at;
     m.list = list_;
   }
   if (whole) {
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -27,7 +27,7 @@
 Limits::Limits(const Settings& settings, const pebblenotch::Settings& site, std::uint64_t seed)
     : settings_(settings),
       clients_(settings.clients, seed),
-      fleet_(site.cold_from, std::max<Micros>(1, site.warm_up)),
+      fleet_(site.slow_start_floor, std::max<Micros>(1, site.slow_start_time)),
       intake_(settings.intake, static_cast<int>(site.classes.size())),
       budget_(settings.repeats, static_cast<int>(site.classes.size()), Worthiest(site)),
       watch_(settings.watch),
@@ -59,25 +59,25 @@
     // In calm a client that comes early is welcome: there is room for it.
     came.early_by = watch_.state() == StormState::kCalm ? 0 : calendar_.EarlyBy(now, known.slot);
     if (came.early_by > 0) {
-      came.standing = Standing::kEarly;
+      came.return_timing = ReturnTiming::kEarly;
       ++counters_.early;
       return came;
     }
     clients_.SetSlot(now, client, 0);
-    if (calendar_.Claim(now, known.slot, cost)) came.standing = Standing::kDue;
-    if (came.standing != Standing::kDue) ++counters_.overbooked;
+    if (calendar_.Claim(now, known.slot, cost)) came.return_timing = ReturnTiming::kDue;
+    if (came.return_timing != ReturnTiming::kDue) ++counters_.overbooked;
   } else if (client == 0 && marked) {
     // Of those that cannot be named, some one's time has come, or nobody's: then it came early. Guards those
     // who wait against those who come again at once.
     if (calendar_.ClaimAnonymous(now, cost)) {
-      came.standing = Standing::kDue;
+      came.return_timing = ReturnTiming::kDue;
     } else if (watch_.state() != StormState::kCalm && calendar_.AnyAnonymous()) {
-      came.standing = Standing::kEarly;
+      came.return_timing = ReturnTiming::kEarly;
       ++counters_.early;
       return came;
     }
   }
-  if (came.standing == Standing::kDue) {
+  if (came.return_timing == ReturnTiming::kDue) {
     ++counters_.due;
   } else {
     newcomers_.Add(now, cost);
@@ -89,7 +89,7 @@
   watch_.Refused(now);
   class_watches_[static_cast<std::size_t>(job_class)].Refused(now);
   if (came.early_by > 0) return came.early_by;  // its time stands as it was told
-  if (came.standing == Standing::kEarly)
+  if (came.return_timing == ReturnTiming::kEarly)
     return calendar_.AnonymousWait(now);  // and so does one without a name
   refused_ = now;
   // Nothing is known of what the fleet can carry: the module's own advice is all there is.
@@ -134,13 +134,13 @@
   looked_ = -1;
 }
 
-std::optional<Allowance> Limits::Due(Micros now) {
-  Allowance next = given_.value_or(Allowance{});
+std::optional<HostLimits> Limits::Due(Micros now) {
+  HostLimits next = given_.value_or(HostLimits{});
   if (looked_ < 0 || now - looked_ >= kLook) {
     looked_ = now;
     const double missing = fleet_.MissingShare(now), strength = fleet_.StrengthAt(now);
     next.starts_per_s = intake_.StartsPerSecond(now, strength);
-    next.most_out = std::floor(intake_.MostOut());
+    next.max_outstanding = std::floor(intake_.MostOut());
     newcomers_per_s_ = newcomers_.Sum(now) * 1e6 / static_cast<double>(settings_.watch.window);
     if (renewed_ < 0 || now - renewed_ >= kRenew) {
       renewed_ = now;
@@ -155,15 +155,16 @@
     step(watch_, -1);
     for (std::size_t c = 0; c < class_watches_.size(); ++c) step(class_watches_[c], static_cast<int>(c));
     counters_.storms = watch_.storms();
-    next.late_is_lost = watch_.state() == StormState::kStorm || watch_.state() == StormState::kEasing;
+    next.shed_late = watch_.state() == StormState::kStorm || watch_.state() == StormState::kEasing;
   }
   next.slack_share = settings_.intake.slack_share;
-  next.further_hops = budget_.Allowed(now);
+  next.retryable_classes = budget_.Allowed(now);
   const bool same = given_ && !Moved(given_->starts_per_s, next.starts_per_s) &&
-                    !Moved(given_->most_out, next.most_out) && given_->late_is_lost == next.late_is_lost &&
-                    given_->further_hops == next.further_hops;
+                    !Moved(given_->max_outstanding, next.max_outstanding) &&
+                    given_->shed_late == next.shed_late &&
+                    given_->retryable_classes == next.retryable_classes;
   if (same) return std::nullopt;
-  if (given_ && (given_->further_hops & ~next.further_hops) != 0) ++counters_.budget_spent;
+  if (given_ && (given_->retryable_classes & ~next.retryable_classes) != 0) ++counters_.budget_spent;
   given_ = next;
   return next;
 }
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -19,9 +19,9 @@
 
 namespace heronway::limits {
 
-using pebblenotch::Allowance;
+using pebblenotch::HostLimits;
 using pebblenotch::Result;
-using pebblenotch::Standing;
+using pebblenotch::ReturnTiming;
 
 struct Counters {
   std::uint64_t repeats = 0;     // arrivals that were repeats
@@ -57,7 +57,7 @@
   // A request came. `marked`: its client says that it is a repeat. `names_job`: so does a name that was seen
   // of late; else the name tells only whose turn it is.
   struct Arrival {
-    Standing standing = Standing::kNew;
+    ReturnTiming return_timing = ReturnTiming::kNew;
     bool repeat = false;
     Micros early_by = 0;  // with kEarly, for one that was told a time by name
   };
@@ -71,7 +71,7 @@
   void Connected(Micros now) { watch_.Connected(now); }
 
   // The figures for the module, where they differ from what it has; ask before it is told of anything.
-  std::optional<Allowance> Due(Micros now);
+  std::optional<HostLimits> Due(Micros now);
   // Changes of state since the last call; ask until there is none.
   std::optional<StormChange> NextChange(Micros now);
 
@@ -94,7 +94,7 @@
   double newcomers_per_s_ = 0;
   ReturnCalendar calendar_;
   Counters counters_;
-  std::optional<Allowance> given_;
+  std::optional<HostLimits> given_;
   Micros looked_ = -1, renewed_ = -1, refused_ = -1;
   double out_ = 0;
   std::vector<StormChange> changes_;
--- a/src/state.h
+++ b/src/state.h
@@ -249,9 +249,9 @@
   std::vector<double> usual_run_;      // for each class
   std::vector<int> waiting_;           // for each class: held jobs
   std::vector<Micros> last_start_;     // for each class: when one was last sent
-  Allowance allow_;
+  HostLimits allow_;
   int out_ = 0;  // attempts
-  std::uint64_t untokened_sends_ = 0;
+  std::uint64_t pushes_without_token_ = 0;
 
   std::unordered_map<RequestId, Job> jobs_;
   std::set<std::pair<double, RequestId>> held_;  // what is worth most for its work comes first
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -107,13 +107,13 @@
   EXPECT_EQ(roster.slot, 1u);
   ASSERT_EQ(roster.workers.size(), 2u);
   EXPECT_EQ(roster.workers[0].id, 0x232b074a120au);
-  EXPECT_EQ(roster.workers[1].since, 0x5d1420);
+  EXPECT_EQ(roster.workers[1].started_at, 0x5d1420);
   EXPECT_EQ(roster.workers[1].zone, 3);
   EXPECT_EQ(roster.workers[1].weight, 1.5);
   EXPECT_EQ(roster.workers[1].state, WorkerState::kDraining);
   EXPECT_EQ(roster.workers[1].kind, 1);
   EXPECT_EQ(roster.workers[1].cell, 4);
-  const auto note = One<Note>(kEvents[12]);
+  const auto note = One<AttemptProgress>(kEvents[12]);
   EXPECT_EQ(note.attempt, 1);
   EXPECT_FALSE(note.started);
   EXPECT_FLOAT_EQ(static_cast<float>(note.share_done), 0.5F);
@@ -168,7 +168,7 @@
   const RequestId id = 0x000559555d3a91c4;
   EXPECT_EQ(body(Push{id, 0x232b074a120a, 80000}), Hex("00 c4913a5d55590500 80380100 0a124a072b23"));
   EXPECT_EQ(body(Push{id, 0x232b074a120a, -1}), Hex("00 c4913a5d55590500 00000000 0a124a072b23"));
-  EXPECT_EQ(body(Refuse{id, 5}), Hex("01 c4913a5d55590500 05000000"));
+  EXPECT_EQ(body(Shed{id, 5}), Hex("01 c4913a5d55590500 05000000"));
   EXPECT_EQ(body(Fail{id}), Hex("02 c4913a5d55590500"));
   EXPECT_EQ(body(Cancel{id, 2}), Hex("03 c4913a5d55590500 02"));
   EXPECT_EQ(body(ArmTimer{0x87fd7a, 77}), Hex("04 7afd870000000000 4d000000"));
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -17,13 +17,13 @@
 using core::Result;
 constexpr Micros kMs = 1000;
 
-pebblenotch::Settings Site(pebblenotch::Effect effect) {
+pebblenotch::Settings Site(pebblenotch::Idempotency effect) {
   pebblenotch::Settings s;
   pebblenotch::ClassSettings c;
   c.aim = 4'000 * kMs;
-  c.stretch = 2;
+  c.aim_stretch = 2;
   c.deadline = 5'000 * kMs;
-  c.effect = effect;
+  c.idempotency = effect;
   s.classes.push_back(c);
   s.max_attempts = 3;
   s.may_cancel = true;
@@ -32,7 +32,7 @@
 
 // A reducer with two targets and one request, and the effects that it asked for, by kind.
 struct Core {
-  explicit Core(pebblenotch::Effect effect, Micros take_limit = 0)
+  explicit Core(pebblenotch::Idempotency effect, Micros take_limit = 0)
       : reducer(Site(effect), 7, now, take_limit) {
     core::RoutesChanged routes{core::ListKind::kCached, std::vector<pebblenotch::WorkerEntry>(2)};
     routes.entries[0].id = 1;
@@ -75,7 +75,7 @@
 
 // Guards one hop at a time: the next goes out only after the front has told the target.
 TEST(Reducer, SendsTheNextHopOnlyOnceTheLastIsCalledOff) {
-  Core c(pebblenotch::Effect::kSafe);
+  Core c(pebblenotch::Idempotency::kIdempotent);
   c.Ask(300 * kMs);
   ASSERT_EQ(c.All<core::SendHop>().size(), 1u);
   const auto first = c.All<core::SendHop>()[0].target;
@@ -99,7 +99,7 @@
 // one until their clients left. Word of the hop by either way keeps it.
 TEST(Reducer, CallsOffAHopThatItsTargetDoesNotTake) {
   for (const int heard : {0, 1, 2}) {
-    Core c(pebblenotch::Effect::kSafe, 300 * kMs);
+    Core c(pebblenotch::Idempotency::kIdempotent, 300 * kMs);
     c.Ask();
     const auto first = c.All<core::SendHop>().at(0).target;
     if (heard == 1) c.Do(core::HopTaken{9, 0});
@@ -116,7 +116,7 @@
 // A hop that had not left when its time to be taken was over never ran, and its target counts as one that
 // cannot be reached; one that is taken back for another reason says nothing of its target.
 TEST(Reducer, TellsATargetThatWasNotReachedFromAHopThatWasTakenBack) {
-  Core c(pebblenotch::Effect::kUnsafe, 300 * kMs);
+  Core c(pebblenotch::Idempotency::kAtMostOnce, 300 * kMs);
   c.Ask();
   c.Pass(301 * kMs);
   c.Do(core::HopCalledOff{9, 0, true});
@@ -131,7 +131,7 @@
 // Guards the deadline: answered before it although the target cannot be told in time.
 TEST(Reducer, AnswersBeforeTheDeadlineWhateverTheFrontKnows) {
   for (const bool never_ran : {false, true}) {
-    Core c(pebblenotch::Effect::kUnsafe);
+    Core c(pebblenotch::Idempotency::kAtMostOnce);
     c.Ask();
     c.Pass(971 * kMs);
     if (never_ran) c.Do(core::HopCalledOff{9, 0, true});
@@ -142,7 +142,7 @@
 }
 
 TEST(Reducer, AnUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused) {
-  Core c(pebblenotch::Effect::kUnsafe);
+  Core c(pebblenotch::Idempotency::kAtMostOnce);
   c.Ask();
   c.Do(core::HopEnded{9, 0, Result::kReset, {}});
   EXPECT_EQ(c.All<core::SendHop>().size(), 1u);
@@ -151,7 +151,7 @@
 }
 
 TEST(Reducer, AClientThatLeavesIsOwedNothingAndItsHopIsCalledOff) {
-  Core c(pebblenotch::Effect::kSafe);
+  Core c(pebblenotch::Idempotency::kIdempotent);
   c.Ask();
   c.Do(core::IngressGone{9});
   EXPECT_EQ(c.All<core::CallOffHop>().size(), 1u);
@@ -161,7 +161,7 @@
 }
 
 TEST(Reducer, DrainsOnlyWhenAllIsAnsweredAndLateArrivalsArePast) {
-  Core c(pebblenotch::Effect::kSafe);
+  Core c(pebblenotch::Idempotency::kIdempotent);
   c.Ask();
   c.Do(core::DrainBegun{});
   c.Pass(701 * kMs);
@@ -172,7 +172,7 @@
 
 // Guards what came late on a connection that was still open against the kill that may follow a planned stop.
 TEST(Reducer, AnswersWhatCameLateInADrainBeforeTheEnd) {
-  Core c(pebblenotch::Effect::kUnsafe);
+  Core c(pebblenotch::Idempotency::kAtMostOnce);
   c.Do(core::DrainBegun{});
   c.Pass(690 * kMs);
   core::Arrived a;
@@ -191,7 +191,7 @@
 // Guards the kill that may come 3.7 s after SIGTERM: what arrives once the late arrivals' answers were due is
 // refused at once and never sent, and counted as deferred for its class; a cordon changes no readiness here.
 TEST(Reducer, RefusesAtOnceWhatComesAfterTheLateAnswersWereDue) {
-  Core c(pebblenotch::Effect::kSafe);
+  Core c(pebblenotch::Idempotency::kIdempotent);
   c.Do(core::Cordon{true});
   EXPECT_TRUE(c.reducer.cordoned() && !c.reducer.draining());
   c.Do(core::DrainBegun{});
@@ -207,7 +207,7 @@
 // Whoever waits as the program may be killed gets an answer, also one that came before the stop; a refusal
 // only where a repeat does no harm.
 TEST(Reducer, AnswersWhatCameBeforeAStopAsWell) {
-  for (const auto effect : {pebblenotch::Effect::kSafe, pebblenotch::Effect::kUnsafe}) {
+  for (const auto effect : {pebblenotch::Idempotency::kIdempotent, pebblenotch::Idempotency::kAtMostOnce}) {
     Core c(effect);
     core::Arrived a;
     a.id = "a";
@@ -220,8 +220,9 @@
     EXPECT_TRUE(c.All<core::Answer>().empty());
     c.Pass(1);
     ASSERT_EQ(c.All<core::Answer>().size(), 1u);
-    EXPECT_EQ(c.All<core::Answer>()[0].kind,
-              effect == pebblenotch::Effect::kSafe ? core::AnswerKind::kShed : core::AnswerKind::kFailed);
+    EXPECT_EQ(c.All<core::Answer>()[0].kind, effect == pebblenotch::Idempotency::kIdempotent
+                                                 ? core::AnswerKind::kShed
+                                                 : core::AnswerKind::kFailed);
     EXPECT_EQ(c.All<core::Drained>().size(), 1u);
   }
 }
@@ -229,7 +230,7 @@
 // The times of a stop lie in their order, for every longest deadline, and leave room before the kill.
 TEST(StopTimes, FollowFromTheLongestDeadline) {
   for (Micros longest = 1 * kMs; longest < 60'000 * kMs; longest = longest * 5 / 4 + 1) {
-    pebblenotch::Settings settings = Site(pebblenotch::Effect::kSafe);
+    pebblenotch::Settings settings = Site(pebblenotch::Idempotency::kIdempotent);
     settings.classes[0].deadline = longest;
     const auto t = core::StopTimes::From(settings);
     EXPECT_EQ(t.earliest_kill, std::min<Micros>(longest, 3'000 * kMs) + 700 * kMs);
@@ -312,7 +313,7 @@
   ASSERT_TRUE(change.has_value());
   EXPECT_EQ(change->kind, core::ListKind::kWhole);
   EXPECT_EQ(change->entries[0].zone, 1);
-  EXPECT_EQ(change->entries[0].since, 5000);
+  EXPECT_EQ(change->entries[0].started_at, 5000);
   list["generation"] = 4;
   list["instances"].append("nonsense");
   EXPECT_FALSE(table.Take(list, core::ListKind::kChanges).has_value());
@@ -350,7 +351,7 @@
 }
 
 TEST(Reducer, CountsWhatBecameOfEachTenantInAFixedTable) {
-  Core core(pebblenotch::Effect::kSafe);
+  Core core(pebblenotch::Idempotency::kIdempotent);
   const auto ask = [&core](core::Ticket ticket, const std::string& tenant) {
     core::Arrived a;
     a.id = "t" + std::to_string(ticket);
@@ -415,17 +416,17 @@
     const auto heard = table.Take(list(1, started), core::ListKind::kChanges, {steady, steady + off});
     ASSERT_TRUE(heard);
     const core::Micros claimed = std::min(steady, started - off);
-    EXPECT_EQ(heard->entries[0].claimed_since, claimed) << off;
-    EXPECT_EQ(heard->entries[0].since, steady) << off;
+    EXPECT_EQ(heard->entries[0].claimed_started_at, claimed) << off;
+    EXPECT_EQ(heard->entries[0].started_at, steady) << off;
     const auto again =
         table.Take(list(2, started), core::ListKind::kChanges, {steady + 9 * kSecond, steady + 9 * kSecond});
-    EXPECT_EQ(again->entries[0].since, steady) << "hearing of it again is no start";
+    EXPECT_EQ(again->entries[0].started_at, steady) << "hearing of it again is no start";
   }
   discovery::RouteTable table({"a"}, {"m"});
   const core::Micros long_ago = steady - 3 * kHour;
   const auto old = table.Take(list(1, long_ago), core::ListKind::kChanges, {steady, steady});
-  EXPECT_EQ(old->entries[0].since, long_ago) << "no clock is wrong by so much";
-  EXPECT_EQ(table.Take(list(2, 0), core::ListKind::kChanges, {steady, steady})->entries[0].since, 0);
+  EXPECT_EQ(old->entries[0].started_at, long_ago) << "no clock is wrong by so much";
+  EXPECT_EQ(table.Take(list(2, 0), core::ListKind::kChanges, {steady, steady})->entries[0].started_at, 0);
 }
 
 TEST(RouteTable, TellsTheGroupsOfItsTargetsAndAsksForThemAnew) {
@@ -458,7 +459,7 @@
     line["startedAtMs"] = Json::Int64(started_ms);
     answer["generation"] = Json::UInt64(4);
     answer["instances"].append(line);
-    return routes.Take(answer, core::ListKind::kWhole)->entries[0].since;
+    return routes.Take(answer, core::ListKind::kWhole)->entries[0].started_at;
   };
   EXPECT_EQ(list(1'000), 1'000'000);
   const core::TargetId id = *routes.IdOf("w0");
@@ -467,7 +468,7 @@
   EXPECT_FALSE(routes.Started(id + 1, 9'000'000)) << "none that is listed";
   const auto change = routes.Started(id, 9'000'000);
   ASSERT_TRUE(change);
-  EXPECT_EQ(change->entries[0].since, 9'000'000);
+  EXPECT_EQ(change->entries[0].started_at, 9'000'000);
   EXPECT_EQ(list(1'000), 9'000'000) << "a list that is behind";
   EXPECT_EQ(list(12'000), 12'000'000);
 }
@@ -475,7 +476,7 @@
 // Others' word that a target fails: one probe, where the site allows any, and nothing else.
 TEST(Fleet, ADoubtedTargetIsProbed) {
   for (const bool may : {false, true}) {
-    pebblenotch::Settings site = Site(pebblenotch::Effect::kSafe);
+    pebblenotch::Settings site = Site(pebblenotch::Idempotency::kIdempotent);
     site.may_probe = may;
     core::Reducer reducer(site, 7, 0);
     std::vector<core::Effect> effects;
@@ -490,7 +491,7 @@
 // Of what is free, a scheduler takes its part by how many there are: told that most have died, it takes more.
 TEST(Fleet, TheNumberOfSchedulersReachesTheModule) {
   const auto hops = [](int schedulers) {
-    pebblenotch::Settings site = Site(pebblenotch::Effect::kSafe);
+    pebblenotch::Settings site = Site(pebblenotch::Idempotency::kIdempotent);
     site.nodes = 100;
     site.reports_in_answers = true;
     core::Reducer reducer(site, 7, 1'000'000);
--- a/tests/draw_test.cpp
+++ b/tests/draw_test.cpp
@@ -31,7 +31,7 @@
   std::mt19937 random(7);
   for (int round = 0; round < 200; ++round) {
     const int n = 1 + static_cast<int>(random() % 40);
-    Node node(Site({Class(Effect::kSafe)}));
+    Node node(Site({Class(Idempotency::kIdempotent)}));
     node.List(ListKind::kCached, Fleet(n));
     std::vector<std::pair<int, int>> table;
     for (int i = 0; i < n; ++i) {
@@ -56,7 +56,7 @@
 // What another scheduler was told counts as one's own report of that time would: never over what was seen
 // here since, and no longer.
 TEST(Draw, AnothersReportCountsByItsAge) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   Told(node, 1, Load(4, 0), 500 * kMs);
   EXPECT_EQ(node.dispatcher().DrawChances(0)[0], 0) << "it is full, as far as anybody knows";
@@ -74,7 +74,7 @@
 // What was sent after another's report was made is not in it, though it would be in one that came now.
 TEST(Draw, OwnPushesAreHeldAgainstAnOldReport) {
   for (const bool sent_before : {false, true}) {
-    Node node(Site({Class(Effect::kSafe)}));
+    Node node(Site({Class(Idempotency::kIdempotent)}));
     node.List(ListKind::kCached, Fleet(2));
     const WorkerId to = Of<Push>(node.Ask(1)).at(0).worker;
     const std::size_t at = static_cast<std::size_t>(to - 1);
@@ -87,9 +87,9 @@
 
 // A cold worker takes pushes on its tokens alone, whatever room others say that it has.
 TEST(Draw, NoWordOfRoomWarmsAColdWorker) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   std::vector<WorkerEntry> fleet = Fleet(2);
-  fleet[0].since = node.now() - 100 * kMs;
+  fleet[0].started_at = node.now() - 100 * kMs;
   node.List(ListKind::kCached, fleet);
   Told(node, 1, Load(0, 9), 50 * kMs);
   EXPECT_EQ(node.dispatcher().DrawChances(0)[0], 0);
@@ -98,7 +98,7 @@
 TEST(Draw, SquaredRankDecidesHowOftenAWorkerIsDrawn) {
   std::vector<int> drawn(3, 0);
   for (std::uint64_t seed = 0; seed < 3000; ++seed) {
-    Node node(Site({Class(Effect::kSafe)}), seed);
+    Node node(Site({Class(Idempotency::kIdempotent)}), seed);
     node.List(ListKind::kCached, Fleet(3));
     for (WorkerId w = 1; w <= 3; ++w) node.Probed(w, Load(0, static_cast<double>(w)));
     const auto pushes = Of<Push>(node.Ask(1));
@@ -111,7 +111,7 @@
 }
 
 TEST(Draw, OwnPushesLengthenAQueueUntilAFreshReport) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   node.Probed(1, Load(0, 4));
   node.Probed(2, Load(0, 4));
@@ -130,7 +130,7 @@
 
 TEST(Draw, APushThatWasNotAcceptedComesOffAgain) {
   for (const Result result : {Result::kFull, Result::kConnectFailed, Result::kError, Result::kTimeout}) {
-    Node node(Site({Class(Effect::kUnsafe)}));
+    Node node(Site({Class(Idempotency::kAtMostOnce)}));
     node.List(ListKind::kCached, Fleet(1));
     node.Probed(1, Load(0, 4));
     const auto before = node.dispatcher().DrawChances(0);
@@ -144,7 +144,7 @@
 }
 
 TEST(Draw, WorkersWithoutRoomSitOutWhileOthersHaveSome) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(3));
   node.Probed(1, Load(0, 0));
   node.Probed(2, Load(3, 0));
@@ -153,7 +153,7 @@
 }
 
 TEST(Draw, OldReportsTellNothing) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   node.Probed(1, Load(5, 0));
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 1}));
@@ -164,7 +164,7 @@
 }
 
 TEST(Draw, OnlyTheKindThatTheClassNeeds) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.kinds = 2;
   site.classes[0].kind = 1;
   Node node(site);
@@ -174,7 +174,7 @@
 
 // Found on a day where cheap jobs filled the only kind that the dearest class can run on.
 TEST(Draw, AScarceKindSitsOutTheFirstTryOfOtherClasses) {
-  auto site = Site({Class(Effect::kSafe), Class(Effect::kUnsafe)});
+  auto site = Site({Class(Idempotency::kIdempotent), Class(Idempotency::kAtMostOnce)});
   site.kinds = 2;
   site.classes[1].kind = 1;
   site.classes[1].worth = 8;
@@ -189,7 +189,7 @@
 }
 
 TEST(Draw, WorkersUnheardOfAreTakenAtHomeFirst) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.zones = 2;
   site.zone = 1;
   Node node(site);
@@ -200,7 +200,7 @@
 }
 
 TEST(Draw, SlotsThatAJobNeedsCount) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   node.Probed(1, Load(0, 1));
   node.Probed(2, Load(0, 2));
--- a/tests/durable/job_book_test.cpp
+++ b/tests/durable/job_book_test.cpp
@@ -14,8 +14,9 @@
 const Holder kNear{1, 0, 0}, kFar{2, 1, 0};
 
 std::vector<ClassRules> Classes() {
-  ClassRules safe{Effect::kSafe}, keyed{Effect::kKeyed}, once{Effect::kUnsafe};
-  keyed.scope = RepeatScope::kZone;
+  ClassRules safe{Idempotency::kIdempotent}, keyed{Idempotency::kDeduplicated},
+      once{Idempotency::kAtMostOnce};
+  keyed.scope = DedupScope::kZone;
   keyed.key_window = once.key_window = 20 * kS;
   return {safe, keyed, once};
 }
--- a/tests/durable/keeper_test.cpp
+++ b/tests/durable/keeper_test.cpp
@@ -17,11 +17,11 @@
 
 std::vector<ClassRules> Classes(const Settings& settings) {
   pebblenotch::Settings site;
-  for (const auto effect : {Effect::kSafe, Effect::kKeyed, Effect::kUnsafe}) {
+  for (const auto effect : {Idempotency::kIdempotent, Idempotency::kDeduplicated, Idempotency::kAtMostOnce}) {
     site.classes.emplace_back();
-    site.classes.back().effect = effect;
-    site.classes.back().scope = RepeatScope::kZone;
-    site.classes.back().key_window = 20 * kS;
+    site.classes.back().idempotency = effect;
+    site.classes.back().dedup_scope = DedupScope::kZone;
+    site.classes.back().key_ttl = 20 * kS;
   }
   return Keeper::RulesOf(settings, site);
 }
@@ -381,9 +381,10 @@
   }
   static pebblenotch::Settings Site() {
     pebblenotch::Settings s;
-    for (const auto effect : {Effect::kSafe, Effect::kKeyed, Effect::kUnsafe}) {
+    for (const auto effect :
+         {Idempotency::kIdempotent, Idempotency::kDeduplicated, Idempotency::kAtMostOnce}) {
       s.classes.emplace_back();
-      s.classes.back().effect = effect;
+      s.classes.back().idempotency = effect;
       s.classes.back().aim = 4 * kS;
       s.classes.back().deadline = 5 * kS;
     }
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -13,14 +13,14 @@
 inline constexpr Micros kMs = 1'000;
 inline constexpr Micros kS = 1'000'000;
 
-inline ClassSettings Class(Effect effect, RepeatScope scope = RepeatScope::kAll) {
+inline ClassSettings Class(Idempotency idempotency, DedupScope dedup_scope = DedupScope::kAll) {
   ClassSettings c;
   c.aim = 1 * kS;
-  c.stretch = 2;
+  c.aim_stretch = 2;
   c.deadline = 10 * kS;
-  c.effect = effect;
-  c.scope = scope;
-  c.key_window = 4 * kS;
+  c.idempotency = idempotency;
+  c.dedup_scope = dedup_scope;
+  c.key_ttl = 4 * kS;
   return c;
 }
 
@@ -29,19 +29,19 @@
   s.classes = std::move(classes);
   s.max_attempts = 4;
   s.may_cancel = true;
-  s.second_copies = true;
+  s.concurrent_attempts = true;
   s.reports_in_answers = true;
   return s;
 }
 
 inline WorkerEntry Entry(WorkerId id, int zone = 0, int kind = 0, WorkerState state = WorkerState::kReady,
-                         Micros since = 0) {
+                         Micros started_at = 0) {
   WorkerEntry e;
   e.id = id;
   e.zone = zone;
   e.kind = kind;
   e.state = state;
-  e.since = since;
+  e.started_at = started_at;
   return e;
 }
 
--- a/tests/life_test.cpp
+++ b/tests/life_test.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 TEST(Life, HoldsWhenAllAreFullAndSendsWhenRoomIsReported) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   node.Probed(1, Load(3, 0));
   node.Probed(2, Load(3, 0));
   auto actions = node.Ask(1);
   EXPECT_TRUE(Of<Push>(actions).empty());
-  EXPECT_TRUE(Of<Refuse>(actions).empty());
+  EXPECT_TRUE(Of<Shed>(actions).empty());
   const auto pushes = Of<Push>(node.Probed(2, Load(0, 2)));
   ASSERT_EQ(pushes.size(), 1u);
   EXPECT_EQ(pushes[0].worker, 2u);
@@ -24,7 +24,7 @@
 
 // Found in an overload where thirty nodes poured what they held on whichever worker reported room.
 TEST(Life, NodesThatHoldJobsTakeOnlyTheirPartOfTheRoom) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.nodes = 40;
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -41,9 +41,9 @@
 
 // Found on an overload where every queue was full and every job so waited too long to be of use.
 TEST(Life, ShedsWhatIsWorthLeastWhileJobsStartTooLate) {
-  auto site = Site({Class(Effect::kUnsafe), Class(Effect::kUnsafe)});
+  auto site = Site({Class(Idempotency::kAtMostOnce), Class(Idempotency::kAtMostOnce)});
   site.worth_by_work = true;
-  site.worker_tells_start = true;
+  site.worker_reports_start = true;
   site.classes[0].worth = 8;
   Node node(site);
   node.List(ListKind::kCached, Fleet(5));
@@ -53,14 +53,13 @@
     const int job_class = static_cast<int>(id % 2);
     node.Probed(1 + id % 5, Load(0, 5));
     const auto actions = node.Ask(id, job_class);
-    if (id > 100)
-      refused[static_cast<std::size_t>(job_class)] += static_cast<int>(Of<Refuse>(actions).size());
+    if (id > 100) refused[static_cast<std::size_t>(job_class)] += static_cast<int>(Of<Shed>(actions).size());
     if (id > 300) continue;
     for (const Push& p : Of<Push>(actions)) out.emplace_back(id, p.worker);
     if (id % 10 != 0) continue;
     node.Pass(3 * kS);
     for (const auto& [late, worker] : std::exchange(out, {})) {
-      node.Feed(Note{late, 0, true, 0});
+      node.Feed(AttemptProgress{late, 0, true, 0});
       node.End(late, 0, worker, Result::kOk, true);
     }
   }
@@ -70,27 +69,27 @@
   node.Probed(1, Load(0, 5));
   node.Ask(1000, 0);
   node.Probed(2, Load(0, 5));
-  EXPECT_TRUE(Of<Refuse>(node.Ask(1001, 1)).empty());
+  EXPECT_TRUE(Of<Shed>(node.Ask(1001, 1)).empty());
   EXPECT_LT(refused[0], refused[1]);  // goes first
 }
 
 // Found on a quiet day on which three workers of eleven restarted: a third of the starts was late, and the
 // rest of the jobs, which had room to go to, were refused by the dozen.
 TEST(Life, ShedsNothingWhileMostJobsStartInTime) {
-  auto site = Site({Class(Effect::kSafe)});
-  site.worker_tells_start = true;
+  auto site = Site({Class(Idempotency::kIdempotent)});
+  site.worker_reports_start = true;
   Node node(site);
   node.List(ListKind::kCached, Fleet(5));
   std::size_t refused = 0;
   std::vector<std::pair<RequestId, WorkerId>> late;  // of thirty jobs the last ten
   const auto run = [&node](RequestId id, WorkerId worker) {
-    node.Feed(Note{id, 0, true, 0});
+    node.Feed(AttemptProgress{id, 0, true, 0});
     node.End(id, 0, worker, Result::kOk, true);
   };
   for (RequestId id = 1; id <= 300; ++id) {
     node.Probed(1 + id % 5, Load(0, 5));
     const auto actions = node.Ask(id);
-    refused += Of<Refuse>(actions).size();
+    refused += Of<Shed>(actions).size();
     for (const Push& p : Of<Push>(actions)) {
       if ((id - 1) % 30 < 20) {
         run(id, p.worker);
@@ -106,19 +105,19 @@
 }
 
 TEST(Life, RefusesEarlyWhatCanNoLongerBeServedInTime) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   Request r;
   r.id = 1;
   r.deadline = node.now() + 10 * kS;
   r.hint = 1 * kS;
   node.Feed(r);
-  EXPECT_TRUE(Of<Refuse>(node.Run(3'900 * kMs)).empty());
-  EXPECT_EQ(Of<Refuse>(node.Run(200 * kMs)).size(), 1u);  // aim 1 s + 2 x 1 s, less the run itself, + 2 x 1 s
+  EXPECT_TRUE(Of<Shed>(node.Run(3'900 * kMs)).empty());
+  EXPECT_EQ(Of<Shed>(node.Run(200 * kMs)).size(), 1u);  // aim 1 s + 2 x 1 s, less the run itself, + 2 x 1 s
 }
 
 // Found where four workers of ten were down: jobs were given up that had twice their usual run to spare.
 TEST(Life, SendsWhatIsPastItsAimBehindWhatIsNot) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.classes[0].late_worth = 0.5;
   Node node(site);
   node.List(ListKind::kCached, Fleet(1));
@@ -132,7 +131,7 @@
   };
   ask(1);
   for (int i = 0; i < 5; ++i) {
-    EXPECT_TRUE(Of<Refuse>(node.Run(500 * kMs)).empty());
+    EXPECT_TRUE(Of<Shed>(node.Run(500 * kMs)).empty());
     node.Probed(1, Load(3, 0));
   }
   ask(2);
@@ -149,15 +148,15 @@
 TEST(Life, InAStormAHeldJobIsGivenUpOnceItsStartIsTooLate) {
   Micros given_up[2] = {};
   for (const bool storm : {false, true}) {
-    Node node(Site({Class(Effect::kSafe)}));
+    Node node(Site({Class(Idempotency::kIdempotent)}));
     node.List(ListKind::kCached, Fleet(1));
     node.Probed(1, Load(4, 0));
     node.Ask(1);
-    Allowance figures;
-    figures.late_is_lost = storm;
+    HostLimits figures;
+    figures.shed_late = storm;
     node.Feed(figures);
     const Micros began = node.now();
-    while (Of<Refuse>(node.Run(20 * kMs)).empty() && node.now() < began + 10 * kS) node.Probed(1, Load(4, 0));
+    while (Of<Shed>(node.Run(20 * kMs)).empty() && node.now() < began + 10 * kS) node.Probed(1, Load(4, 0));
     given_up[storm ? 1 : 0] = node.now() - began;
   }
   EXPECT_LT(given_up[1], given_up[0] - kS);
@@ -165,14 +164,14 @@
 
 // Within limits a class that is worth little still gets one in twenty of the starts.
 TEST(Life, AClassOfLittleWorthIsNotStarvedWithinLimits) {
-  auto rich = Class(Effect::kSafe), poor = rich;
+  auto rich = Class(Idempotency::kIdempotent), poor = rich;
   rich.worth = 100;
   rich.aim = poor.aim = 60 * kS;
   for (const double starts_per_s : {0.0, 10.0}) {
     Node node(Site({poor, rich}));
     node.List(ListKind::kCached, Fleet(1));
     node.Probed(1, Load(4, 0));
-    Allowance figures;
+    HostLimits figures;
     figures.starts_per_s = starts_per_s;
     node.Feed(figures);
     node.Ask(1, 0, 100 * kS);
@@ -192,10 +191,10 @@
 }
 
 TEST(Life, NoMoreAttemptsAreOutThanTheHostAllows) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(4));
-  Allowance figures;
-  figures.most_out = 2;
+  HostLimits figures;
+  figures.max_outstanding = 2;
   node.Feed(figures);
   std::size_t pushes = 0;
   for (RequestId id = 1; id <= 4; ++id) pushes += Of<Push>(node.Ask(id)).size();
@@ -203,7 +202,7 @@
 }
 
 TEST(Life, AFailureInARowSitsOutTwiceAsLongAsTheOneBefore) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   const auto trusted = [&node](WorkerId id) { return node.dispatcher().DrawChances(0)[id - 1] > 0; };
   ProbeResult broken;
@@ -220,7 +219,7 @@
 
 // Found on an overloaded day: of 1,600 pushes 475 went to workers that had kept quiet about nine or more.
 TEST(Life, AWorkerThatSaysNothingIsNotSentMoreUntilItDoes) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(1));
   EXPECT_EQ(Of<Push>(node.Ask(1)).size(), 1u);
   EXPECT_TRUE(Of<Push>(node.Ask(2)).empty());
@@ -230,7 +229,7 @@
 
 TEST(Life, AProbeThatIsNotAnsweredTellsOfAQueueAndOneThatCannotConnectOfAFault) {
   for (const Result result : {Result::kTimeout, Result::kConnectFailed}) {
-    Node node(Site({Class(Effect::kSafe)}));
+    Node node(Site({Class(Idempotency::kIdempotent)}));
     node.List(ListKind::kCached, Fleet(2));
     ProbeResult probe;
     probe.worker = 1;
@@ -244,8 +243,8 @@
 
 // Second copies of waiting jobs made crowded days worse: the copies ran all the same.
 TEST(Life, AJobThatWaitsMarksItsWorkerFullAndIsNotCopied) {
-  auto site = Site({Class(Effect::kSafe)});
-  site.worker_tells_start = true;
+  auto site = Site({Class(Idempotency::kIdempotent)});
+  site.worker_reports_start = true;
   Node node(site);
   node.List(ListKind::kCached, Fleet(2));
   node.Probed(1, Load(0, 2));
@@ -257,7 +256,7 @@
 }
 
 TEST(Life, WhatIsOverATenantsShareWaitsBehindTheRest) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.tenants = {{1}};  // a burst of two lies inside the share
   site.over_share_worth = 0.05;
   Node node(site);
@@ -275,7 +274,7 @@
 }
 
 TEST(Life, TheLastTryGoesOnlyWhereRoomIsKnown) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.max_attempts = 2;
   Node node(site);
   node.List(ListKind::kCached, Fleet(3));
@@ -289,7 +288,7 @@
 }
 
 TEST(Life, AFastFailerDoesNotKeepATopRank) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(5));
   for (WorkerId w = 1; w <= 5; ++w) node.Probed(w, Load(0, 5));
   const auto first = Of<Push>(node.Ask(1));
@@ -302,7 +301,7 @@
 }
 
 TEST(Life, ASlowWorkerIsEjectedAndPanicKeepsTheTableFromEmptying) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(1));
   for (RequestId id = 1; id <= 6; ++id) {
     node.Probed(1, Load(0, 5));
@@ -313,7 +312,7 @@
 }
 
 TEST(Life, WorkersThatCannotBeReachedAreLeftSoon) {
-  auto site = Site({Class(Effect::kUnsafe)});
+  auto site = Site({Class(Idempotency::kAtMostOnce)});
   site.zones = 2;
   Node node(site);
   std::vector<WorkerEntry> workers;
@@ -334,7 +333,7 @@
 TEST(Life, JobsWithTheSameKeyGoToTheSameFewWorkersAtEveryNode) {
   std::set<WorkerId> used;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Node node(Site({Class(Effect::kSafe)}), seed);
+    Node node(Site({Class(Idempotency::kIdempotent)}), seed);
     node.List(ListKind::kCached, Fleet(100));
     for (RequestId id = 1; id <= 60; ++id) {
       Request r;
@@ -352,9 +351,9 @@
 }
 
 TEST(Life, AsksForTheListApartFromOthersAndAgainAfterAFailure) {
-  auto site = Site({Class(Effect::kSafe)});
-  site.must_ask = true;
-  site.ask_every = 10 * kS;
+  auto site = Site({Class(Idempotency::kIdempotent)});
+  site.must_subscribe = true;
+  site.subscribe_every = 10 * kS;
   Node node(site, 1);
   node.List(ListKind::kCached, Fleet(2));
   EXPECT_EQ(Of<Subscribe>(node.Run(2 * kS)).size(), 1u);
@@ -365,13 +364,13 @@
 }
 
 TEST(Life, OddButLegal) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   Node node(site);
-  EXPECT_EQ(Of<Refuse>(node.Ask(1, 9)).size(), 1u);      // an unknown class
-  EXPECT_EQ(Of<Refuse>(node.Ask(2, 0, -5)).size(), 1u);  // past its deadline
+  EXPECT_EQ(Of<Shed>(node.Ask(1, 9)).size(), 1u);        // an unknown class
+  EXPECT_EQ(Of<Shed>(node.Ask(2, 0, -5)).size(), 1u);    // past its deadline
   EXPECT_TRUE(node.End(77, 0, 1, Result::kOk).empty());  // an unknown request
   EXPECT_TRUE(node.Feed(ClientGone{78}).empty());
-  EXPECT_TRUE(node.Feed(Note{79, 0, true, 0}).empty());
+  EXPECT_TRUE(node.Feed(AttemptProgress{79, 0, true, 0}).empty());
   EXPECT_TRUE(node.Probed(80, Load(0, 1)).empty());  // a worker never listed
   EXPECT_TRUE(node.Feed(TimerDue{12345}).empty());
   node.List(ListKind::kCached, {Entry(1, 7, 9)});  // a zone and a kind beyond those named
@@ -383,7 +382,7 @@
 }
 
 TEST(Life, SameEventsSameActionsHoweverInstancesInterleave) {
-  const auto site = Site({Class(Effect::kSafe)});
+  const auto site = Site({Class(Idempotency::kIdempotent)});
   const auto run = [&](bool interleaved) {
     Node a(site, 5), b(site, 6);
     std::vector<WorkerId> sent;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -244,7 +244,7 @@
   fleet.Take(kStart, {&one, 1}, false);
   EXPECT_NEAR(fleet.MissingShare(kStart), 0.25, 1e-9);
   one.state = pebblenotch::WorkerState::kReady;
-  one.since = kStart + 2 * kS;
+  one.started_at = kStart + 2 * kS;
   fleet.Take(kStart + 3 * kS, {&one, 1}, false);
   EXPECT_NEAR(fleet.StrengthAt(kStart + 2 * kS), 3.3, 1e-9);
   EXPECT_NEAR(fleet.StrengthAt(kStart + 7 * kS), 3.65, 1e-9);
@@ -387,19 +387,19 @@
   ASSERT_EQ(w.limits.state(), StormState::kStorm);
   const auto client = w.limits.HashOf("k", 0);
   auto came = w.limits.Arrived(w.now, 0, client, false, true);
-  EXPECT_EQ(came.standing, Standing::kNew);
+  EXPECT_EQ(came.return_timing, ReturnTiming::kNew);
   const Micros wait = w.limits.Refused(w.now, 0, client, 500 * kMs, came);
   const Micros at = w.now + wait;
   for (int i = 0; i < 5; ++i) {
     w.now += 10 * kMs;
     came = w.limits.Arrived(w.now, 0, client, false, true);
-    EXPECT_EQ(came.standing, Standing::kEarly);
+    EXPECT_EQ(came.return_timing, ReturnTiming::kEarly);
     EXPECT_NEAR(static_cast<double>(w.now + w.limits.Refused(w.now, 0, client, 0, came)),
                 static_cast<double>(at), 1500);
   }
   w.now = at;
   came = w.limits.Arrived(w.now, 0, client, false, true);
-  EXPECT_EQ(came.standing, Standing::kDue);
+  EXPECT_EQ(came.return_timing, ReturnTiming::kDue);
   EXPECT_TRUE(came.repeat);
 }
 
--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -80,24 +80,25 @@
   }
   int Int(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
   Settings Draw() {
-    const Effect effects[] = {Effect::kSafe, Effect::kKeyed, Effect::kUnsafe};
-    const RepeatScope scopes[] = {RepeatScope::kAll, RepeatScope::kZone, RepeatScope::kCell};
+    const Idempotency idempotencies[] = {Idempotency::kIdempotent, Idempotency::kDeduplicated,
+                                         Idempotency::kAtMostOnce};
+    const DedupScope scopes[] = {DedupScope::kAll, DedupScope::kZone, DedupScope::kCell};
     Settings s = Site({});
     s.kinds = 1 + Int(3);
     s.zones = 1 + Int(3);
     for (int c = 0, n = 1 + Int(3); c < n; ++c) {
-      s.classes.push_back(Class(effects[Int(3)], scopes[Int(3)]));
+      s.classes.push_back(Class(idempotencies[Int(3)], scopes[Int(3)]));
       s.classes.back().late_worth = Int(2) * 0.2;
       s.classes.back().worth = 1 + Int(5);
       s.classes.back().kind = Int(3) == 0 ? Int(s.kinds) : -1;
     }
     s.max_attempts = 1 + Int(6);
-    s.second_copies = Int(2) == 0;
+    s.concurrent_attempts = Int(2) == 0;
     s.may_cancel = Int(2) == 0;
     s.may_probe = Int(2) == 0;
-    s.worker_tells_start = Int(2) == 0;
-    s.must_ask = Int(2) == 0;
-    s.ask_every = 10 * kS;
+    s.worker_reports_start = Int(2) == 0;
+    s.must_subscribe = Int(2) == 0;
+    s.subscribe_every = 10 * kS;
     s.tenants = {{5}, {0}};
     return s;
   }
@@ -112,7 +113,7 @@
   void ChangeOne() {
     WorkerEntry& e = workers_[1 + Int(12)];
     e.state = static_cast<WorkerState>(Int(3));
-    if (Int(3) == 0) e.since = node_.now() - Int(3000) * kMs;
+    if (Int(3) == 0) e.started_at = node_.now() - Int(3000) * kMs;
     Check(node_.List(ListKind::kChanges, {e}));
   }
   void Ask() {
@@ -160,7 +161,7 @@
     for (auto& [id, held] : held_) {
       for (std::size_t i = 0; i < held.tries.size(); ++i) {
         if (held.tries[i].out && Int(4) == 0) {
-          Check(node_.Feed(Note{id, static_cast<int>(i), Int(2) == 0, 0.5}));
+          Check(node_.Feed(AttemptProgress{id, static_cast<int>(i), Int(2) == 0, 0.5}));
           return;
         }
       }
@@ -193,27 +194,27 @@
       EXPECT_EQ(to.kind, c.kind);
     }
     for (const Try& t : held.tries) {
-      EXPECT_TRUE(!t.out || settings_.second_copies) << "rule 2: two at once";
-      if (t.never_ran || c.effect == Effect::kSafe) continue;
-      EXPECT_EQ(c.effect, Effect::kKeyed) << "rule 2: unsafe";
-      EXPECT_LT(node_.now() - t.sent, c.key_window) << "rule 2: window";
+      EXPECT_TRUE(!t.out || settings_.concurrent_attempts) << "rule 2: two at once";
+      if (t.never_ran || c.idempotency == Idempotency::kIdempotent) continue;
+      EXPECT_EQ(c.idempotency, Idempotency::kDeduplicated) << "rule 2: unsafe";
+      EXPECT_LT(node_.now() - t.sent, c.key_ttl) << "rule 2: window";
       const WorkerEntry& first = workers_[t.worker];
-      if (c.scope == RepeatScope::kZone) {
+      if (c.dedup_scope == DedupScope::kZone) {
         EXPECT_EQ(first.zone, to.zone);
       }
-      if (c.scope == RepeatScope::kCell) {
+      if (c.dedup_scope == DedupScope::kCell) {
         EXPECT_EQ(first.cell, to.cell);
       }
     }
     held.tries.push_back({a.worker, node_.now()});
     EXPECT_LE(static_cast<int>(held.tries.size()), settings_.max_attempts);
   }
-  void On(const Refuse& a) {
+  void On(const Shed& a) {
     Held& held = held_[a.id];
     const ClassSettings& c = settings_.classes[static_cast<std::size_t>(held.job_class)];
     for (const Try& t : held.tries) {
-      EXPECT_TRUE(t.never_ran || c.effect == Effect::kSafe ||
-                  (c.effect == Effect::kKeyed && c.scope == RepeatScope::kAll))
+      EXPECT_TRUE(t.never_ran || c.idempotency == Idempotency::kIdempotent ||
+                  (c.idempotency == Idempotency::kDeduplicated && c.dedup_scope == DedupScope::kAll))
           << "rule 2: refused though it may have run";
     }
     Final(held);
@@ -232,7 +233,7 @@
     EXPECT_TRUE(settings_.may_probe);
     EXPECT_TRUE(workers_.contains(a.worker));
   }
-  void On(const Subscribe&) { EXPECT_TRUE(settings_.must_ask); }
+  void On(const Subscribe&) { EXPECT_TRUE(settings_.must_subscribe); }
   void On(const ArmTimer& a) { EXPECT_GT(a.at, 0); }
 
   std::mt19937_64 random_;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct Case {
-  Effect effect;
+  Idempotency idempotency;
   Result result;
   bool again;    // another attempt follows
   bool refused;  // where no worker is left, the answer is a refusal (else a failure)
@@ -19,7 +19,7 @@
 
 TEST_P(OutcomeByClass, AnotherAttemptOnlyWhereTheClassAllowsIt) {
   const Case c = GetParam();
-  Node node(Site({Class(c.effect)}));
+  Node node(Site({Class(c.idempotency)}));
   node.List(ListKind::kCached, Fleet(2));
   const auto first = Of<Push>(node.Ask(1));
   ASSERT_EQ(first.size(), 1u);
@@ -32,42 +32,43 @@
 
 TEST_P(OutcomeByClass, ARefusalPromisesThatNothingRan) {
   const Case c = GetParam();
-  auto site = Site({Class(c.effect)});
+  auto site = Site({Class(c.idempotency)});
   site.max_attempts = 1;
   Node node(site);
   node.List(ListKind::kCached, Fleet(1));
   ASSERT_EQ(Of<Push>(node.Ask(1)).size(), 1u);
   node.Pass(20 * kMs);
   const auto actions = node.End(1, 0, 1, c.result);
-  EXPECT_EQ(Of<Refuse>(actions).size(), c.refused ? 1u : 0u);
+  EXPECT_EQ(Of<Shed>(actions).size(), c.refused ? 1u : 0u);
   EXPECT_EQ(Of<Fail>(actions).size(), c.refused ? 0u : 1u);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, OutcomeByClass,
-                         ::testing::Values(Case{Effect::kSafe, Result::kError, true, true},
-                                           Case{Effect::kSafe, Result::kFull, true, true},
-                                           Case{Effect::kSafe, Result::kTimeout, true, true},
-                                           Case{Effect::kSafe, Result::kConnectFailed, true, true},
-                                           Case{Effect::kSafe, Result::kReset, true, true},
-                                           Case{Effect::kSafe, Result::kCancelled, true, true},
-                                           Case{Effect::kSafe, Result::kMoot, true, true},
-                                           Case{Effect::kKeyed, Result::kError, true, true},
-                                           Case{Effect::kKeyed, Result::kFull, true, true},
-                                           Case{Effect::kKeyed, Result::kReset, true, true},
-                                           Case{Effect::kKeyed, Result::kTimeout, true, true},
-                                           Case{Effect::kKeyed, Result::kCancelled, true, true},
-                                           Case{Effect::kKeyed, Result::kConnectFailed, true, true},
-                                           Case{Effect::kUnsafe, Result::kError, false, false},
-                                           Case{Effect::kUnsafe, Result::kFull, true, true},
-                                           Case{Effect::kUnsafe, Result::kTimeout, false, false},
-                                           Case{Effect::kUnsafe, Result::kConnectFailed, true, true},
-                                           Case{Effect::kUnsafe, Result::kReset, false, false},
-                                           Case{Effect::kUnsafe, Result::kCancelled, false, false},
-                                           Case{Effect::kUnsafe, Result::kMoot, true, true}));
+                         ::testing::Values(Case{Idempotency::kIdempotent, Result::kError, true, true},
+                                           Case{Idempotency::kIdempotent, Result::kFull, true, true},
+                                           Case{Idempotency::kIdempotent, Result::kTimeout, true, true},
+                                           Case{Idempotency::kIdempotent, Result::kConnectFailed, true, true},
+                                           Case{Idempotency::kIdempotent, Result::kReset, true, true},
+                                           Case{Idempotency::kIdempotent, Result::kCancelled, true, true},
+                                           Case{Idempotency::kIdempotent, Result::kMoot, true, true},
+                                           Case{Idempotency::kDeduplicated, Result::kError, true, true},
+                                           Case{Idempotency::kDeduplicated, Result::kFull, true, true},
+                                           Case{Idempotency::kDeduplicated, Result::kReset, true, true},
+                                           Case{Idempotency::kDeduplicated, Result::kTimeout, true, true},
+                                           Case{Idempotency::kDeduplicated, Result::kCancelled, true, true},
+                                           Case{Idempotency::kDeduplicated, Result::kConnectFailed, true,
+                                                true},
+                                           Case{Idempotency::kAtMostOnce, Result::kError, false, false},
+                                           Case{Idempotency::kAtMostOnce, Result::kFull, true, true},
+                                           Case{Idempotency::kAtMostOnce, Result::kTimeout, false, false},
+                                           Case{Idempotency::kAtMostOnce, Result::kConnectFailed, true, true},
+                                           Case{Idempotency::kAtMostOnce, Result::kReset, false, false},
+                                           Case{Idempotency::kAtMostOnce, Result::kCancelled, false, false},
+                                           Case{Idempotency::kAtMostOnce, Result::kMoot, true, true}));
 
 TEST(Rules, KeyedRepeatsStayInTheirGroupAndWindow) {
-  for (const RepeatScope scope : {RepeatScope::kZone, RepeatScope::kCell}) {
-    auto site = Site({Class(Effect::kKeyed, scope)});
+  for (const DedupScope dedup_scope : {DedupScope::kZone, DedupScope::kCell}) {
+    auto site = Site({Class(Idempotency::kDeduplicated, dedup_scope)});
     site.zones = 2;
     std::vector<WorkerEntry> workers = {Entry(1, 0), Entry(2, 1), Entry(3, 0)};
     workers[1].cell = 1;
@@ -79,10 +80,10 @@
       auto actions = node.End(1, 0, first[0].worker, Result::kReset);
       for (const Action& a : node.Run(10 * kS)) actions.push_back(a);
       for (const Push& p : Of<Push>(actions)) EXPECT_EQ(p.worker == 2, first[0].worker == 2);
-      EXPECT_EQ(Of<Refuse>(actions).size(), 0u);  // a refusal would let the client retry outside the group
+      EXPECT_EQ(Of<Shed>(actions).size(), 0u);  // a refusal would let the client retry outside the group
     }
   }
-  Node late(Site({Class(Effect::kKeyed)}));
+  Node late(Site({Class(Idempotency::kDeduplicated)}));
   late.List(ListKind::kCached, Fleet(3));
   const auto first = Of<Push>(late.Ask(1, 0, 10 * kS));
   ASSERT_EQ(first.size(), 1u);
@@ -91,9 +92,9 @@
 }
 
 TEST(Rules, OneAttemptAtATimeWhereSecondCopiesAreNotAllowed) {
-  auto site = Site({Class(Effect::kSafe)});
-  site.second_copies = false;
-  site.worker_tells_start = true;
+  auto site = Site({Class(Idempotency::kIdempotent)});
+  site.concurrent_attempts = false;
+  site.worker_reports_start = true;
   Node node(site);
   node.List(ListKind::kCached, Fleet(3));
   for (WorkerId w = 1; w <= 3; ++w) node.Probed(w, Load(0, 5));
@@ -102,31 +103,32 @@
 }
 
 TEST(Rules, EveryRequestIsAnsweredBeforeTheClientGivesUp) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   const Micros start = node.now();
   auto actions = node.Ask(1, 0, 3 * kS);  // no workers at all
   EXPECT_TRUE(Of<Push>(actions).empty());
   for (const Action& a : node.Run(3 * kS)) actions.push_back(a);
-  EXPECT_EQ(Of<Refuse>(actions).size() + Of<Fail>(actions).size(), 1u);
+  EXPECT_EQ(Of<Shed>(actions).size() + Of<Fail>(actions).size(), 1u);
   EXPECT_LE(start, node.now());
 }
 
 TEST(Rules, ATimeoutAtTheDeadlineIsAnsweredAtOnce) {
-  for (const Effect effect : {Effect::kSafe, Effect::kKeyed, Effect::kUnsafe}) {
-    Node node(Site({Class(effect)}));
+  for (const Idempotency idempotency :
+       {Idempotency::kIdempotent, Idempotency::kDeduplicated, Idempotency::kAtMostOnce}) {
+    Node node(Site({Class(idempotency)}));
     node.List(ListKind::kCached, Fleet(2));
     const auto first = Of<Push>(node.Ask(1, 0, 3 * kS));
     ASSERT_EQ(first.size(), 1u);
     node.Pass(3 * kS);
     const auto actions = node.End(1, 0, first[0].worker, Result::kTimeout);
-    EXPECT_EQ(Of<Refuse>(actions).size() + Of<Fail>(actions).size(), 1u);
+    EXPECT_EQ(Of<Shed>(actions).size() + Of<Fail>(actions).size(), 1u);
     EXPECT_TRUE(Of<Push>(actions).empty());
   }
 }
 
 TEST(Rules, NothingNewToAWorkerThatDrainsOrIsGone) {
   for (const WorkerState state : {WorkerState::kDraining, WorkerState::kGone}) {
-    Node node(Site({Class(Effect::kSafe)}));
+    Node node(Site({Class(Idempotency::kIdempotent)}));
     node.List(ListKind::kCached, Fleet(2));
     node.Probed(1, Load(0, 9));
     node.List(ListKind::kChanges, {Entry(1, 0, 0, state)});
@@ -134,7 +136,7 @@
       for (const Push& p : Of<Push>(node.Ask(id))) EXPECT_EQ(p.worker, 2u);
     }
   }
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
   node.List(ListKind::kWhole, {Entry(2)});  // missing from a whole list: gone
   for (RequestId id = 1; id <= 20; ++id) {
@@ -143,13 +145,13 @@
 }
 
 TEST(Rules, ARequestForGroupsOfWorkersGoesToNoOther) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   auto fleet = Fleet(6);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].groups = i;  // worker 4 alone has the bits 1 and 2
   node.List(ListKind::kCached, fleet);
   Request r;
   r.deadline = node.now() + 10 * kS;
-  r.only = 3;
+  r.required_groups = 3;
   for (const std::uint64_t key : {0, 77}) {
     r.id = 1 + key;
     r.key = key;
@@ -165,7 +167,7 @@
 }
 
 TEST(Rules, OfHeldJobsTheOneOfHigherPriorityGoesFirst) {
-  Node node(Site({Class(Effect::kSafe)}));
+  Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(1));
   node.Probed(1, Load(4, 0));
   for (const int priority : {0, 2, 15, 1}) {
@@ -190,7 +192,7 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Node node(site, seed);
     auto fleet = Fleet(workers);
-    fleet[0].since = node.now();
+    fleet[0].started_at = node.now();
     node.List(ListKind::kCached, fleet);
     for (RequestId id = 1; id <= static_cast<RequestId>(requests); ++id) {
       node.Run(apart);
@@ -207,9 +209,9 @@
 
 TEST(Rules, AColdWorkerGetsNoMoreThanItsPart) {
   // Twenty nodes, ten workers of which one has just started and shows an empty queue to all of them.
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.nodes = 20;
-  site.warm_up = 10 * kS;
+  site.slow_start_time = 10 * kS;
   const auto [to_cold, sent] = ColdPushes(site, 10, 40, 50 * kMs, true);
   EXPECT_EQ(sent, 800);
   EXPECT_LE(to_cold, sent / 10);  // never above a warm worker's part
@@ -220,9 +222,9 @@
   // One node of a hundred, a request every 2 s, twenty workers of which one has just started. A token that
   // is only a place in the draw lapses before the next request comes, and the cold worker idles all through
   // its warm-up; a token for the next push gives it its part.
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.nodes = 100;
-  site.warm_up = 300 * kS;
+  site.slow_start_time = 300 * kS;
   const auto [to_cold, sent] = ColdPushes(site, 20, 100, 2 * kS, false);
   EXPECT_EQ(sent, 2000);
   EXPECT_GE(to_cold, 10);         // not idle while cold
@@ -234,9 +236,9 @@
   // as the list is read its first entry must not count as one of a fleet of one. The sum over all nodes is
   // held against a warm worker's part N and what chance may add to it.
   for (const std::uint64_t nodes : {30u, 300u}) {
-    auto site = Site({Class(Effect::kSafe)});
+    auto site = Site({Class(Idempotency::kIdempotent)});
     site.nodes = static_cast<int>(nodes);
-    site.warm_up = 10 * kS;
+    site.slow_start_time = 10 * kS;
     const auto [to_cold, sent] = ColdPushes(site, 200, 4, 500 * kMs, false, nodes);
     EXPECT_EQ(sent, static_cast<int>(4 * nodes));
     const double part = sent / 200.0;
@@ -248,11 +250,11 @@
   // Thirty nodes with thin traffic, twenty workers of which one starts; no request comes for most of its long
   // warm-up, and then one to each node in one moment. A token that lasted until used would be with every node
   // by then: their sum is held against what the rules' figures allow a worker of a usual part, and chance.
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   site.nodes = 30;
-  site.warm_up = 60 * kS;
+  site.slow_start_time = 60 * kS;
   site.overload_factor = 2;
-  site.fall_window = 2 * kS;
+  site.overload_window = 2 * kS;
   const Micros apart = 600 * kMs, lull = 55 * kS;
   int to_cold = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -271,29 +273,31 @@
       node.Run(apart);
       ask(id);
     }
-    fleet[0].since = node.now();
+    fleet[0].started_at = node.now();
     node.List(ListKind::kChanges, {fleet[0]});
     node.Run(lull);
     to_cold += ask(100);
   }
-  const double share = site.cold_from + (1 - site.cold_from) * static_cast<double>(lull) / site.warm_up;
+  const double share =
+      site.slow_start_floor + (1 - site.slow_start_floor) * static_cast<double>(lull) / site.slow_start_time;
   const double part = 30.0 * 1e6 / static_cast<double>(apart) / 20;  // requests a second for each worker
-  const double allowed = site.overload_factor * share * part * static_cast<double>(site.fall_window) / 1e6;
+  const double allowed =
+      site.overload_factor * share * part * static_cast<double>(site.overload_window) / 1e6;
   EXPECT_LE(to_cold, allowed + 2 * std::sqrt(allowed) + 2);
   EXPECT_GT(to_cold, 0);
 }
 
 // A start that clocks only claim to be long ago lifts no worker over what the settings allow one of any age.
 TEST(Rules, AClaimedAgeBringsNoMoreThanTheSettingsAllowAtAnyAge) {
-  auto site = Site({Class(Effect::kSafe)});
-  site.warm_up = 600 * kS;
-  site.cold_from = 0.1;
+  auto site = Site({Class(Idempotency::kIdempotent)});
+  site.slow_start_time = 600 * kS;
+  site.slow_start_floor = 0.1;
   int to_cold = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Node node(site, seed);
     auto fleet = Fleet(10);
-    fleet[0].since = node.now();
-    fleet[0].claimed_since = 1;
+    fleet[0].started_at = node.now();
+    fleet[0].claimed_started_at = 1;
     node.List(ListKind::kCached, fleet);
     for (RequestId id = 1; id <= 50; ++id) {
       node.Run(2 * kS);
@@ -304,18 +308,18 @@
     }
   }
   const double fair = 20 * 50 / 10.0;
-  const double allowed = fair * site.overload_factor * (site.cold_from + 0.9 * 100 / 600.0);
+  const double allowed = fair * site.overload_factor * (site.slow_start_floor + 0.9 * 100 / 600.0);
   EXPECT_LE(to_cold, allowed);
-  EXPECT_GE(to_cold, fair * site.cold_from / 2);
+  EXPECT_GE(to_cold, fair * site.slow_start_floor / 2);
 }
 
 TEST(Rules, ARestartedWorkerIsColdAgain) {
-  auto site = Site({Class(Effect::kSafe)});
+  auto site = Site({Class(Idempotency::kIdempotent)});
   Node node(site);
   node.List(ListKind::kCached, Fleet(2));
   node.List(ListKind::kChanges, {Entry(1, 0, 0, WorkerState::kReady, node.now())});
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 1}));
-  node.Run(site.warm_up + kMs);
+  node.Run(site.slow_start_time + kMs);
   EXPECT_GT(node.dispatcher().DrawChances(0)[0], 0);
 }
 
