--- a/src/cluster/copies/copies.cpp
+++ b/src/cluster/copies/copies.cpp
@@ -80,7 +80,7 @@
 Copies::Group& Copies::Add(GroupOnDisk on_disk, bool made) {
   const std::string name = on_disk.group;
   const log::ServerId self = on_disk.self;
-  log::OnDisk log = on_disk.log;
+  log::PersistentState log = on_disk.log;
   on_disk.servers[self] = {settings_.name, net::ToText(links_.address())};
   for (const auto& [id, who] : on_disk.servers) links_.Place(who.first, who.second);
   if (!made) disk_.Hand(name, on_disk);
@@ -140,7 +140,7 @@
                           {"role", kRoles[static_cast<int>(role->role)]},
                           {"term", role->term},
                           {"leader", leader == g.servers.end() ? "unknown" : leader->second.first}});
-  } else if (std::holds_alternative<log::Refused>(effect)) {
+  } else if (std::holds_alternative<log::Rejected>(effect)) {
     if (g.held) g.held->Refuse("this scheduler does not lead its copies now");
   }
 }
@@ -210,7 +210,7 @@
   if (who.first == member && (at.empty() || who.second == at)) return;
   who = {member, at.empty() ? who.second : at};
   // Guards memory against servers that come and go: those of the group, and as many again.
-  while (g.servers.size() > 2 * log::kMostServers) g.servers.erase(g.servers.begin());
+  while (g.servers.size() > 2 * log::kMaxServers) g.servers.erase(g.servers.begin());
   disk_.Hand(g.name, g.servers);
 }
 
@@ -242,7 +242,7 @@
     if (!g->held) continue;
     for (std::string& data : g->held->TakeAsked()) {
       log::Propose p;
-      p.ticket = ++tickets_;
+      p.request_id = ++tickets_;
       p.data = std::move(data);
       Post(*g, std::move(p));
     }
--- a/src/cluster/copies/disk.cpp
+++ b/src/cluster/copies/disk.cpp
@@ -121,8 +121,8 @@
       GroupOnDisk g;
       g.group = groups.getColumn(0).getString();
       g.self = static_cast<log::ServerId>(groups.getColumn(1).getInt64());
-      g.log.vote = {static_cast<log::Term>(groups.getColumn(2).getInt64()),
-                    static_cast<log::ServerId>(groups.getColumn(3).getInt64())};
+      g.log.hard_state = {static_cast<log::Term>(groups.getColumn(2).getInt64()),
+                          static_cast<log::ServerId>(groups.getColumn(3).getInt64())};
       if (!groups.getColumn(5).isNull()) {
         const std::string body = groups.getColumn(5).getString();
         auto snapshot =
@@ -238,15 +238,15 @@
 
 void Disk::Impl::Put(const GroupOnDisk& g) {
   Do("INSERT OR REPLACE INTO groups VALUES(?, ?, ?, ?, 0, NULL)", g.group, static_cast<std::int64_t>(g.self),
-     static_cast<std::int64_t>(g.log.vote.term), static_cast<std::int64_t>(g.log.vote.of));
+     static_cast<std::int64_t>(g.log.hard_state.term), static_cast<std::int64_t>(g.log.hard_state.voted_for));
   if (g.log.snapshot != nullptr) PutSnapshot(g.group, *g.log.snapshot);
   Put(g.group, g.servers);
 }
 
 void Disk::Impl::Put(const std::string& group, const log::Persist& p) {
-  if (p.vote)
-    Do("UPDATE groups SET term=?, vote=? WHERE name=?", static_cast<std::int64_t>(p.vote->term),
-       static_cast<std::int64_t>(p.vote->of), group);
+  if (p.hard_state)
+    Do("UPDATE groups SET term=?, vote=? WHERE name=?", static_cast<std::int64_t>(p.hard_state->term),
+       static_cast<std::int64_t>(p.hard_state->voted_for), group);
   if (p.snapshot != nullptr) {
     PutSnapshot(group, *p.snapshot);
     Do("DELETE FROM entries WHERE grp=? AND idx<=?", group, static_cast<std::int64_t>(p.snapshot->index));
--- a/src/cluster/copies/disk.h
+++ b/src/cluster/copies/disk.h
@@ -23,7 +23,7 @@
 struct GroupOnDisk {
   std::string group;
   log::ServerId self = 0;
-  log::OnDisk log;
+  log::PersistentState log;
   Servers servers;
 };
 
--- a/src/cluster/copies/dump.cpp
+++ b/src/cluster/copies/dump.cpp
@@ -112,7 +112,7 @@
 Said SaidBy(const log::Log& log, log::Index after, log::Index last) {
   Said said;
   if (log.snapshot() != nullptr && after < log.snapshot()->index) said.snapshot = log.snapshot();
-  said.first = std::max(log.first(), after + 1);
+  said.first = std::max(log.first_index(), after + 1);
   for (log::Index i = said.first; i <= last; ++i) said.entries.push_back(log.EntryAt(i));
   return said;
 }
--- a/src/cluster/copies/frames.cpp
+++ b/src/cluster/copies/frames.cpp
@@ -62,7 +62,7 @@
     f.server = in.Number<log::ServerId>(0, ~log::ServerId{0});
     const msgpack::object& servers = in.Next();
     pack::Members::Need(servers.type == msgpack::type::ARRAY &&
-                        servers.via.array.size <= 2 * log::kMostServers);
+                        servers.via.array.size <= 2 * log::kMaxServers);
     for (std::uint32_t i = 0; i < servers.via.array.size; ++i) {
       pack::Members one(servers.via.array.ptr[i], 3);
       const auto id = one.Number<log::ServerId>(1, ~log::ServerId{0});
--- a/src/cluster/copies/holds.cpp
+++ b/src/cluster/copies/holds.cpp
@@ -27,7 +27,7 @@
   const bool others = !g.mine || !g.starts || g.last_life != g.known_life;
   take.records = durable::Encode(others ? std::vector{broke} : std::vector<durable::Record>{});
   log::Propose p;
-  p.ticket = ++tickets_;
+  p.request_id = ++tickets_;
   p.data = Encode(take);
   Post(g, std::move(p));
 }
@@ -171,7 +171,7 @@
     made.self = NewServer();
     auto first = std::make_shared<log::Snapshot>();
     first->index = 1;
-    first->members.voters = {made.self};
+    first->configuration.voters = {made.self};
     first->data = Encode(dump);
     made.log.snapshot = first;
     store->Refill(dump.clock_broke, dump.jobs, {1, 0, 0});
@@ -189,7 +189,7 @@
   Micros told = shared_.loop.Now();
   while (!g->held || g->log->role() != log::Role::kLeader) {
     shared_.loop.RunTurn();
-    if (g->log->role() == log::Role::kLeader && g->log->committed() == g->log->last()) TakeHold(*g);
+    if (g->log->role() == log::Role::kLeader && g->log->commit_index() == g->log->last_index()) TakeHold(*g);
     if (shared_.loop.Now() - told < 5 * kSecond) continue;
     told = shared_.loop.Now();
     heronway::log::Event(heronway::log::Level::kWarn, "copies",
--- a/src/cluster/copies/keepers.cpp
+++ b/src/cluster/copies/keepers.cpp
@@ -20,17 +20,17 @@
   if (g.log->role() != log::Role::kLeader) return;
   const Micros now = shared_.loop.Now();
   if (now - g.told >= 2 * kSecond) TellNames(g);
-  const log::Members& servers = g.log->members();
+  const log::Configuration& servers = g.log->configuration();
   if (g.mine && !g.held && !g.starts) TakeHold(g);
   if (!g.mine) {
     // Its owner is to lead it: nobody else runs its jobs while that is there.
     for (const auto& lag : g.log->Followers()) {
       const auto who = g.servers.find(lag.server);
       const bool owner = who != g.servers.end() && who->second.first == OwnerOf(g.name);
-      if (!owner || now - lag.heard > kSecond) continue;
+      if (!owner || now - lag.last_contact > kSecond) continue;
       if (!GaveBack(g) || now - g.handed < 2 * kSecond) return;
       g.handed = now;
-      return Post(g, log::Transfer{lag.server});
+      return Post(g, log::TransferLeadership{lag.server});
     }
     if (g.held && g.giving_back) return Lost(g);  // its owner has gone again meanwhile
     const auto owner = std::find_if(members.begin(), members.end(),
@@ -47,13 +47,14 @@
       g.grown > std::max(kCompacts, g.log->snapshot() == nullptr ? 0 : g.log->snapshot()->data.size()))
     Compact(g);
   if (!g.mine) return;
-  const auto change = [&](log::Change what, log::ServerId id) {
-    Post(g, log::ChangeMembers{++tickets_, what, id});
+  const auto change = [&](log::ConfigurationChange what, log::ServerId id) {
+    Post(g, log::ChangeConfiguration{++tickets_, what, id});
     TellNames(g);
   };
   for (const auto& lag : g.log->Followers()) {
     const bool learns = std::binary_search(servers.learners.begin(), servers.learners.end(), lag.server);
-    if (learns && lag.match >= g.log->committed()) return change(log::Change::kPromote, lag.server);
+    if (learns && lag.match_index >= g.log->commit_index())
+      return change(log::ConfigurationChange::kPromote, lag.server);
   }
   for (const log::ServerId id : g.here) {
     const bool in = std::binary_search(servers.voters.begin(), servers.voters.end(), id) ||
@@ -61,7 +62,7 @@
     if (in) continue;
     // Added once; one that is taken out later has to be asked again.
     g.here.erase(id);
-    return change(log::Change::kAddLearner, id);
+    return change(log::ConfigurationChange::kAddLearner, id);
   }
   if (members.empty()) return;
   std::vector<std::string> holders;
@@ -71,7 +72,8 @@
       const auto who = g.servers.find(id);
       const std::string member = who == g.servers.end() ? "?" + std::to_string(id) : who->second.first;
       // A member with an older disk's server beside its new one: the older counts for nothing any more.
-      if (by_name.contains(member)) return change(log::Change::kRemove, std::min(id, by_name[member]));
+      if (by_name.contains(member))
+        return change(log::ConfigurationChange::kRemove, std::min(id, by_name[member]));
       holders.push_back(member);
       by_name[member] = id;
     }
@@ -83,7 +85,7 @@
   const auto move = NextMove(settings_.name, holders, candidates, settings_.copies, now, kPatience, false);
   if (!move) return;
   if (!move->remove.empty() && (move->add.empty() || static_cast<int>(holders.size()) > settings_.copies))
-    return change(log::Change::kRemove, by_name[move->remove]);
+    return change(log::ConfigurationChange::kRemove, by_name[move->remove]);
   if (move->add.empty() || now - g.asked < kSecond) return;
   g.asked = now;
   g.invited = move->add;
@@ -99,7 +101,7 @@
   names.kind = Frame::Kind::kNames;
   names.group = g.name;
   std::set<std::string> to;
-  for (const auto* ids : {&g.log->members().voters, &g.log->members().learners}) {
+  for (const auto* ids : {&g.log->configuration().voters, &g.log->configuration().learners}) {
     for (const log::ServerId id : *ids) {
       const auto who = g.servers.find(id);
       if (who == g.servers.end()) continue;
--- a/src/cluster/copies/look_up.cpp
+++ b/src/cluster/copies/look_up.cpp
@@ -11,7 +11,8 @@
 constexpr Micros kLookUpAgain = 50'000;  // a link that has just failed loses what is sent
 
 // Whether the members that are left when its owner's disk is lost can lead it: else only an operator can.
-bool MayBeLedWithoutOwner(const log::Members& members, const Servers& servers, const std::string& owner) {
+bool MayBeLedWithoutOwner(const log::Configuration& members, const Servers& servers,
+                          const std::string& owner) {
   const auto others = std::count_if(members.voters.begin(), members.voters.end(), [&](log::ServerId id) {
     const auto who = servers.find(id);
     return who != servers.end() && who->second.first != owner;
@@ -129,7 +130,7 @@
       heronway::log::Event(heronway::log::Level::kInfo, "copies",
                            {{"group", name}, {"state", "its owner has lost it"}});
     }
-    if (!MayBeLedWithoutOwner(g.log->members(), g.servers, from)) continue;
+    if (!MayBeLedWithoutOwner(g.log->configuration(), g.servers, from)) continue;
     answer.copies.push_back(name);
     if (g.held && !g.reading) answer.held.push_back(name);
   }
--- a/src/cluster/copies/report.cpp
+++ b/src/cluster/copies/report.cpp
@@ -24,26 +24,26 @@
     v["term"] = Json::UInt64(l.term());
     const auto leader = g->servers.find(l.leader());
     v["leader"] = leader == g->servers.end() ? "" : leader->second.first;
-    v["committed"] = Json::UInt64(l.committed());
-    v["last"] = Json::UInt64(l.last());
-    v["on_disk"] = Json::UInt64(l.durable());
+    v["committed"] = Json::UInt64(l.commit_index());
+    v["last"] = Json::UInt64(l.last_index());
+    v["on_disk"] = Json::UInt64(l.durable_index());
     v["held"] = g->held != nullptr && !g->reading;
     v["snapshot"] = Json::UInt64(l.snapshot() == nullptr ? 0 : l.snapshot()->index);
     v["servers"] = Json::arrayValue;
-    std::map<log::ServerId, log::Log::Lag> lags;
+    std::map<log::ServerId, log::Log::FollowerStatus> lags;
     for (const auto& lag : l.Followers()) lags.emplace(lag.server, lag);
-    for (const auto* ids : {&l.members().voters, &l.members().learners}) {
+    for (const auto* ids : {&l.configuration().voters, &l.configuration().learners}) {
       for (const log::ServerId id : *ids) {
         Json::Value s;
         const auto who = g->servers.find(id);
         s["member"] = who == g->servers.end() ? "" : who->second.first;
         s["server"] = Json::UInt64(id);
-        s["votes"] = ids == &l.members().voters;
+        s["votes"] = ids == &l.configuration().voters;
         if (const auto lag = lags.find(id); lag != lags.end()) {
-          s["on_disk"] = Json::UInt64(lag->second.match);
-          s["heard_ms"] = Json::Int64((now - lag->second.heard) / 1000);
+          s["on_disk"] = Json::UInt64(lag->second.match_index);
+          s["heard_ms"] = Json::Int64((now - lag->second.last_contact) / 1000);
         } else if (id == l.self()) {
-          s["on_disk"] = Json::UInt64(l.durable());
+          s["on_disk"] = Json::UInt64(l.durable_index());
         }
         v["servers"].append(std::move(s));
       }
@@ -60,7 +60,7 @@
   for (const auto& [name, g] : groups_) {
     held += g->held != nullptr && !g->mine && !g->reading ? 1 : 0;
     led += g->log->role() == log::Role::kLeader ? 1 : 0;
-    waiting += g->log->last() - g->log->committed();
+    waiting += g->log->last_index() - g->log->commit_index();
   }
   return {{"copies.groups", groups_.size()},
           {"copies.led", led},
--- a/src/cluster/log/codec.cpp
+++ b/src/cluster/log/codec.cpp
@@ -13,35 +13,35 @@
   out.pack_bin(static_cast<std::uint32_t>(bytes.size()));
   out.pack_bin_body(bytes.data(), static_cast<std::uint32_t>(bytes.size()));
 }
-void Pack(Packer& out, const Members& m) {
+void Pack(Packer& out, const Configuration& m) {
   out.pack_array(2);
   out.pack(m.voters).pack(m.learners);
 }
 void Pack(Packer& out, const Entry& e) {
   out.pack_array(5);
-  out.pack(kForm).pack(e.term).pack(static_cast<int>(e.kind));
+  out.pack(kFormatVersion).pack(e.term).pack(static_cast<int>(e.kind));
   PackBytes(out, e.data);
-  Pack(out, e.members);
+  Pack(out, e.configuration);
 }
 
 class Reader : public pack::Members {
  public:
   Reader(const msgpack::object& o, std::uint32_t least) : pack::Members(o, least) {
-    Need(Number<int>(1, 1 << 20) == kForm);
+    Need(Number<int>(1, 1 << 20) == kFormatVersion);
   }
   std::uint64_t Count() { return Number<std::uint64_t>(0, ~std::uint64_t{0}); }
   bool Flag() { return Next().as<bool>(); }
   std::string Bytes() {
     const msgpack::object& o = Next();
-    Need(o.type == msgpack::type::BIN && o.via.bin.size <= kMostData);
+    Need(o.type == msgpack::type::BIN && o.via.bin.size <= kMaxDataBytes);
     return {o.via.bin.ptr, o.via.bin.size};
   }
-  log::Members Servers() {
+  log::Configuration Servers() {
     pack::Members in(Next(), 2);
-    log::Members m;
+    log::Configuration m;
     for (auto* ids : {&m.voters, &m.learners}) {
       const msgpack::object& o = in.Next();
-      Need(o.type == msgpack::type::ARRAY && o.via.array.size <= kMostServers);
+      Need(o.type == msgpack::type::ARRAY && o.via.array.size <= kMaxServers);
       *ids = o.as<std::vector<ServerId>>();
       // Guards look-ups that rely on the order, and a server that would count twice.
       Need(std::adjacent_find(ids->begin(), ids->end(), std::greater_equal<>()) == ids->end());
@@ -53,9 +53,9 @@
     Reader in(o, 5);
     Entry e;
     e.term = in.Count();
-    e.kind = in.Enum(EntryKind::kMembers);
+    e.kind = in.Enum(EntryKind::kConfiguration);
     e.data = in.Bytes();
-    e.members = in.Servers();
+    e.configuration = in.Servers();
     return e;
   }
 };
@@ -63,8 +63,8 @@
 template <typename T, typename Read>
 std::optional<T> Decode(std::string_view bytes, Read read) {
   try {
-    // Guards memory: what no such bytes can have is refused before room is made for it.
-    const msgpack::unpack_limit limit(kMostEntries, 0, 64, kMostData, 0, 6);
+    // Guards memory: what no such bytes can have is rejected before room is made for it.
+    const msgpack::unpack_limit limit(kMaxMessageEntries, 0, 64, kMaxDataBytes, 0, 6);
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
     return read(whole.get());
   } catch (const std::exception&) {
@@ -80,13 +80,18 @@
   msgpack::sbuffer bytes;
   Packer out(bytes);
   out.pack_array(17);
-  out.pack(kForm).pack(static_cast<int>(m.kind)).pack(m.from).pack(m.to).pack(m.term).pack(m.index);
-  out.pack(m.log_term).pack(m.commit).pack(m.hint).pack(m.round).pack(m.yes).pack(m.handed);
+  out.pack(kFormatVersion).pack(static_cast<int>(m.kind)).pack(m.from).pack(m.to).pack(m.term).pack(m.index);
+  out.pack(m.log_term)
+      .pack(m.leader_commit)
+      .pack(m.match_hint)
+      .pack(m.read_round)
+      .pack(m.accepted)
+      .pack(m.leadership_transfer);
   out.pack_array(static_cast<std::uint32_t>(m.entries.size()));
   for (const EntryPtr& e : m.entries) Pack(out, *e);
-  Pack(out, m.members);
-  out.pack(m.offset).pack(m.size);
-  PackBytes(out, m.bytes);
+  Pack(out, m.configuration);
+  out.pack(m.offset).pack(m.total_size);
+  PackBytes(out, m.chunk);
   return Whole(bytes);
 }
 
@@ -101,8 +106,8 @@
   msgpack::sbuffer bytes;
   Packer out(bytes);
   out.pack_array(5);
-  out.pack(kForm).pack(s.index).pack(s.term);
-  Pack(out, s.members);
+  out.pack(kFormatVersion).pack(s.index).pack(s.term);
+  Pack(out, s.configuration);
   PackBytes(out, s.data);
   return Whole(bytes);
 }
@@ -117,11 +122,11 @@
     m.term = in.Count();
     m.index = in.Count();
     m.log_term = in.Count();
-    m.commit = in.Count();
-    m.hint = in.Count();
-    m.round = in.Count();
-    m.yes = in.Flag();
-    m.handed = in.Flag();
+    m.leader_commit = in.Count();
+    m.match_hint = in.Count();
+    m.read_round = in.Count();
+    m.accepted = in.Flag();
+    m.leadership_transfer = in.Flag();
     const msgpack::object& entries = in.Next();
     Reader::Need(entries.type == msgpack::type::ARRAY);
     for (std::uint32_t i = 0; i < entries.via.array.size; ++i) {
@@ -129,13 +134,13 @@
       // A leader's entries never fall back in their terms.
       Reader::Need(i == 0 || m.entries[i]->term >= m.entries[i - 1]->term);
     }
-    m.members = in.Servers();
+    m.configuration = in.Servers();
     m.offset = in.Count();
-    m.size = in.Count();
-    m.bytes = in.Bytes();
-    Reader::Need(m.offset <= m.size && m.bytes.size() <= m.size - m.offset);
-    Reader::Need(m.from != 0 && m.to != 0 && m.term <= kMostTerm && m.index <= kMostIndex);
-    Reader::Need(m.hint <= kMostIndex && m.commit <= kMostIndex);
+    m.total_size = in.Count();
+    m.chunk = in.Bytes();
+    Reader::Need(m.offset <= m.total_size && m.chunk.size() <= m.total_size - m.offset);
+    Reader::Need(m.from != 0 && m.to != 0 && m.term <= kMaxTerm && m.index <= kMaxIndex);
+    Reader::Need(m.match_hint <= kMaxIndex && m.leader_commit <= kMaxIndex);
     return m;
   });
 }
@@ -148,9 +153,9 @@
   return Decode<Snapshot>(bytes, [](const msgpack::object& o) {
     Reader in(o, 5);
     Snapshot s;
-    s.index = in.Number<Index>(0, kMostIndex);
-    s.term = in.Number<Term>(0, kMostTerm);
-    s.members = in.Servers();
+    s.index = in.Number<Index>(0, kMaxIndex);
+    s.term = in.Number<Term>(0, kMaxTerm);
+    s.configuration = in.Servers();
     s.data = in.Bytes();
     return s;
   });
--- a/src/cluster/log/codec.h
+++ b/src/cluster/log/codec.h
@@ -11,10 +11,10 @@
 
 namespace heronway::cluster::log {
 
-inline constexpr int kForm = 1;
-inline constexpr std::size_t kMostServers = 32;             // of a group, of either kind
-inline constexpr std::size_t kMostEntries = 8'192;          // in a message
-inline constexpr std::size_t kMostData = 32 * 1024 * 1024;  // bytes of an entry, or of a snapshot's piece
+inline constexpr int kFormatVersion = 1;
+inline constexpr std::size_t kMaxServers = 32;                  // of a group, of either kind
+inline constexpr std::size_t kMaxMessageEntries = 8'192;        // in a message
+inline constexpr std::size_t kMaxDataBytes = 32 * 1024 * 1024;  // bytes of an entry, or of a snapshot's piece
 
 std::string Encode(const Message& message);
 std::string Encode(const Entry& entry);
--- a/src/cluster/log/digest.cpp
+++ b/src/cluster/log/digest.cpp
@@ -15,7 +15,7 @@
     Add(ids.size());
     for (const ServerId id : ids) Add(id);
   }
-  void Add(const Members& m) {
+  void Add(const Configuration& m) {
     Add(m.voters);
     Add(m.learners);
   }
@@ -23,7 +23,7 @@
     Add(e.term);
     Add(static_cast<std::uint64_t>(e.kind));
     Add(e.data);
-    Add(e.members);
+    Add(e.configuration);
   }
   std::uint64_t sum() const { return sum_; }
 
@@ -41,58 +41,60 @@
 
 std::uint64_t DigestOf(const Message& m) {
   Hash h;
-  for (const std::uint64_t n :
-       {static_cast<std::uint64_t>(m.kind), m.from, m.to, m.term, m.index, m.log_term, m.commit, m.hint,
-        m.round, std::uint64_t{m.yes}, std::uint64_t{m.handed}, m.offset, m.size})
+  for (const std::uint64_t n : {static_cast<std::uint64_t>(m.kind), m.from, m.to, m.term, m.index, m.log_term,
+                                m.leader_commit, m.match_hint, m.read_round, std::uint64_t{m.accepted},
+                                std::uint64_t{m.leadership_transfer}, m.offset, m.total_size})
     h.Add(n);
   for (const EntryPtr& e : m.entries) h.Add(*e);
-  h.Add(m.members);
-  h.Add(m.bytes);
+  h.Add(m.configuration);
+  h.Add(m.chunk);
   return h.sum();
 }
 
 std::uint64_t Log::Digest() const {
   Hash h;
-  for (const std::uint64_t n : {vote_.term,
-                                vote_.of,
-                                base_,
-                                base_term_,
-                                saves_ - saved_,
-                                vote_save_ > saved_ ? saves_ - vote_save_ + 1 : 0,
-                                durable_,
-                                members_at_,
-                                commit_,
-                                applied_,
-                                static_cast<std::uint64_t>(role_),
-                                leader_,
-                                verified_,
-                                round_,
-                                own_first_,
-                                std::uint64_t{waiting_bytes_},
-                                transfer_,
-                                std::uint64_t{handed_over_},
-                                std::uint64_t{HearsLeader()},
-                                to_restore_ == nullptr ? 0 : to_restore_->index,
-                                coming_.index,
-                                std::uint64_t{coming_.data.size()},
-                                snapshot_ == nullptr ? 0 : snapshot_->index})
+  for (const std::uint64_t n :
+       {hard_state_.term,
+        hard_state_.voted_for,
+        base_index_,
+        base_term_,
+        persists_requested_ - persists_done_,
+        hard_state_persist_ > persists_done_ ? persists_requested_ - hard_state_persist_ + 1 : 0,
+        durable_index_,
+        configuration_index_,
+        commit_index_,
+        last_applied_,
+        static_cast<std::uint64_t>(role_),
+        leader_,
+        verified_index_,
+        read_round_,
+        term_start_index_,
+        std::uint64_t{uncommitted_bytes_},
+        transfer_target_,
+        std::uint64_t{timeout_now_sent_},
+        std::uint64_t{HasActiveLeader()},
+        snapshot_to_restore_ == nullptr ? 0 : snapshot_to_restore_->index,
+        incoming_snapshot_.index,
+        std::uint64_t{incoming_snapshot_.data.size()},
+        snapshot_ == nullptr ? 0 : snapshot_->index})
     h.Add(n);
-  for (const EntryPtr& e : log_) h.Add(*e);
-  h.Add(members_);
+  for (const EntryPtr& e : entries_) h.Add(*e);
+  h.Add(configuration_);
   for (const ServerId id : votes_) h.Add(id);
-  for (const auto& [number, upto] : writes_) {
-    h.Add(number - saved_);
+  for (const auto& [number, upto] : pending_writes_) {
+    h.Add(number - persists_done_);
     h.Add(upto);
   }
-  for (const Held& held : held_) h.Add(DigestOf(held.message));
+  for (const DelayedMessage& delayed : delayed_messages_) h.Add(DigestOf(delayed.message));
   for (const auto& [id, p] : progress_) {
-    for (const std::uint64_t n : {id, p.match, p.next, static_cast<std::uint64_t>(p.pace),
-                                  std::uint64_t{p.waits}, std::uint64_t{p.bytes}, p.round, p.offset})
+    for (const std::uint64_t n :
+         {id, p.match_index, p.next_index, static_cast<std::uint64_t>(p.state),
+          std::uint64_t{p.awaiting_reply}, std::uint64_t{p.inflight_bytes}, p.read_round, p.offset})
       h.Add(n);
   }
-  for (const WaitingRead& r : reads_) {
-    h.Add(r.ticket);
-    h.Add(r.round);
+  for (const PendingRead& r : pending_reads_) {
+    h.Add(r.request_id);
+    h.Add(r.read_round);
     h.Add(r.index);
   }
   return h.sum();
--- a/src/cluster/log/election.cpp
+++ b/src/cluster/log/election.cpp
@@ -7,150 +7,154 @@
 namespace heronway::cluster::log {
 
 // Apart from the others: two that stand at one moment split the votes.
-void Log::ResetElection() {
-  election_at_ = now_ + settings_.election +
-                 static_cast<Micros>(random_(static_cast<std::uint32_t>(settings_.election)));
+void Log::ResetElectionTimer() {
+  election_deadline_ = now_ + settings_.election_timeout +
+                       static_cast<Micros>(random_(static_cast<std::uint32_t>(settings_.election_timeout)));
 }
 
-bool Log::HearsLeader() const {
+bool Log::HasActiveLeader() const {
   if (role_ == Role::kLeader) return true;
-  return leader_ != 0 && heard_leader_ >= 0 && now_ - heard_leader_ < settings_.election;
+  return leader_ != 0 && last_leader_contact_ >= 0 &&
+         now_ - last_leader_contact_ < settings_.election_timeout;
 }
 
-bool Log::UpToDate(const Message& m) const {
-  const Term own = *TermAt(last());
-  return m.log_term > own || (m.log_term == own && m.index >= last());
+bool Log::IsUpToDate(const Message& m) const {
+  const Term own = *TermAt(last_index());
+  return m.log_term > own || (m.log_term == own && m.index >= last_index());
 }
 
 void Log::Become(Role role, Term term, ServerId leader) {
-  const bool told = role != role_ || leader != leader_ || term != vote_.term;
-  if (role_ == Role::kLeader && role != Role::kLeader) ++counters_.stood_down;
-  if (term > vote_.term) {
-    vote_ = Vote{term, 0};
-    Save(true, 0);
+  const bool told = role != role_ || leader != leader_ || term != hard_state_.term;
+  if (role_ == Role::kLeader && role != Role::kLeader) ++counters_.stepped_down;
+  if (term > hard_state_.term) {
+    hard_state_ = HardState{term, 0};
+    RequestPersist(true, 0);
   }
   role_ = role;
   leader_ = leader;
   if (role != Role::kLeader) {
     progress_.clear();
-    own_first_ = 0;
-    waiting_bytes_ = 0;
-    transfer_ = 0;
-    // Whoever waits for a read asks again, of whoever leads then.
-    for (const WaitingRead& r : std::exchange(reads_, {})) effects_->push_back(Refused{r.ticket, leader});
+    term_start_index_ = 0;
+    uncommitted_bytes_ = 0;
+    transfer_target_ = 0;
+    // Whoever awaiting_reply for a read asks again, of whoever leads then.
+    for (const PendingRead& r : std::exchange(pending_reads_, {}))
+      effects_->push_back(Rejected{r.request_id, leader});
   }
-  if (told) effects_->push_back(RoleChanged{role, vote_.term, leader});
+  if (told) effects_->push_back(RoleChanged{role, hard_state_.term, leader});
 }
 
-void Log::StandAside(Term term, ServerId leader) {
+void Log::BecomeFollower(Term term, ServerId leader) {
   // Of another leader's log nothing is known to be alike but what is committed.
-  if (term > vote_.term || leader_ != leader) {
-    verified_ = commit_;
-    round_ = 0;
-    coming_ = Snapshot{};
-    coming_size_ = 0;
+  if (term > hard_state_.term || leader_ != leader) {
+    verified_index_ = commit_index_;
+    read_round_ = 0;
+    incoming_snapshot_ = Snapshot{};
+    incoming_size_ = 0;
   }
-  if (leader != leader_) heard_leader_ = -1;
+  if (leader != leader_) last_leader_contact_ = -1;
   const bool led = role_ != Role::kFollower;
   Become(Role::kFollower, term, leader);
-  if (led) ResetElection();
+  if (led) ResetElectionTimer();
 }
 
-// Pre-vote (9.6): whoever could not win, and whoever is only cut off, raises nobody's term.
-void Log::Stand(bool for_real, bool handed) {
-  ResetElection();
+// Pre-hard_state (9.6): whoever could not win, and whoever is only cut off, raises nobody's term.
+void Log::StartElection(bool real_vote, bool leadership_transfer) {
+  ResetElectionTimer();
   votes_.clear();
-  if (for_real) {
+  if (real_vote) {
     ++counters_.elections;
-    Become(Role::kCandidate, vote_.term + 1, 0);
-    vote_.of = self_;
-    Save(true, 0);
+    Become(Role::kCandidate, hard_state_.term + 1, 0);
+    hard_state_.voted_for = self_;
+    RequestPersist(true, 0);
   } else {
-    Become(Role::kPreCandidate, vote_.term, 0);
+    Become(Role::kPreCandidate, hard_state_.term, 0);
   }
   votes_.insert(self_);
-  for (const ServerId id : members_.voters) {
+  for (const ServerId id : configuration_.voters) {
     if (id == self_) continue;
-    Message m = Make(for_real ? MessageKind::kVote : MessageKind::kPreVote, id);
-    if (!for_real) m.term = vote_.term + 1;
-    m.index = last();
-    m.log_term = *TermAt(last());
-    m.handed = handed;
-    Post(std::move(m));
+    Message m = MakeMessage(real_vote ? MessageKind::kRequestVote : MessageKind::kPreVote, id);
+    if (!real_vote) m.term = hard_state_.term + 1;
+    m.index = last_index();
+    m.log_term = *TermAt(last_index());
+    m.leadership_transfer = leadership_transfer;
+    SendMessage(std::move(m));
   }
-  TryWin();
+  CountVotes();
 }
 
-void Log::TryWin() {
-  // One's own vote counts when it is on disk, like any other.
-  if (vote_save_ > saved_) return;
-  const auto yes = std::count_if(members_.voters.begin(), members_.voters.end(),
-                                 [this](ServerId id) { return votes_.contains(id); });
-  if (static_cast<std::size_t>(yes) < Majority()) return;
-  if (role_ == Role::kPreCandidate) return Stand(true, false);
-  if (role_ == Role::kCandidate) Lead();
+void Log::CountVotes() {
+  // One's own hard_state counts when it is on disk, like any other.
+  if (hard_state_persist_ > persists_done_) return;
+  const auto granted = std::count_if(configuration_.voters.begin(), configuration_.voters.end(),
+                                     [this](ServerId id) { return votes_.contains(id); });
+  if (static_cast<std::size_t>(granted) < Majority()) return;
+  if (role_ == Role::kPreCandidate) return StartElection(true, false);
+  if (role_ == Role::kCandidate) BecomeLeader();
 }
 
-void Log::Lead() {
-  ++counters_.won;
-  Become(Role::kLeader, vote_.term, self_);
-  round_ = 0;
-  quorum_at_ = now_ + settings_.election;
-  TakeMembers(Members(members_));
+void Log::BecomeLeader() {
+  ++counters_.elections_won;
+  Become(Role::kLeader, hard_state_.term, self_);
+  read_round_ = 0;
+  next_quorum_check_ = now_ + settings_.election_timeout;
+  SetConfiguration(Configuration(configuration_));
   auto nothing = std::make_shared<Entry>();
-  nothing->term = vote_.term;
-  nothing->kind = EntryKind::kNothing;
-  own_first_ = last() + 1;
+  nothing->term = hard_state_.term;
+  nothing->kind = EntryKind::kNoOp;
+  term_start_index_ = last_index() + 1;
   Append(std::move(nothing));
-  FeedAll(true);
-  LookAtCommit();
+  ReplicateToAll(true);
+  AdvanceCommitIndex();
 }
 
 void Log::OnVoteRequest(const Message& m) {
   const bool pre = m.kind == MessageKind::kPreVote;
-  Message reply = Make(pre ? MessageKind::kPreVoteReply : MessageKind::kVoteReply, m.from);
-  // A leader that is heard is kept (4.2.3): a server that was removed or cut off must not unseat it.
-  if (m.term > vote_.term && !m.handed && HearsLeader()) return;
-  if (m.term < vote_.term) return Post(std::move(reply));
+  Message reply = MakeMessage(pre ? MessageKind::kPreVoteReply : MessageKind::kRequestVoteReply, m.from);
+  // A leader that is responders is kept (4.2.3): a server that was removed or cut off must not unseat it.
+  if (m.term > hard_state_.term && !m.leadership_transfer && HasActiveLeader()) return;
+  if (m.term < hard_state_.term) return SendMessage(std::move(reply));
   if (pre) {
-    reply.yes = m.term > vote_.term && UpToDate(m);
-    // A yes is of the term that is asked for; a no tells one's own.
-    if (reply.yes) reply.term = m.term;
-    return Post(std::move(reply));
+    reply.accepted = m.term > hard_state_.term && IsUpToDate(m);
+    // A accepted is of the term that is asked for; a no tells one's own.
+    if (reply.accepted) reply.term = m.term;
+    return SendMessage(std::move(reply));
   }
-  if (m.term > vote_.term) StandAside(m.term, 0);
-  reply.term = vote_.term;
+  if (m.term > hard_state_.term) BecomeFollower(m.term, 0);
+  reply.term = hard_state_.term;
   const bool free = role_ == Role::kFollower || role_ == Role::kPreCandidate;
-  if ((vote_.of == 0 || vote_.of == m.from) && free && leader_ == 0 && UpToDate(m)) {
-    if (role_ != Role::kFollower) StandAside(vote_.term, 0);
-    if (vote_.of == 0) {
-      vote_.of = m.from;
-      Save(true, 0);
+  if ((hard_state_.voted_for == 0 || hard_state_.voted_for == m.from) && free && leader_ == 0 &&
+      IsUpToDate(m)) {
+    if (role_ != Role::kFollower) BecomeFollower(hard_state_.term, 0);
+    if (hard_state_.voted_for == 0) {
+      hard_state_.voted_for = m.from;
+      RequestPersist(true, 0);
     }
-    reply.yes = true;
-    ResetElection();
+    reply.accepted = true;
+    ResetElectionTimer();
   }
-  Post(std::move(reply));
+  SendMessage(std::move(reply));
 }
 
 void Log::OnVoteReply(const Message& m) {
   const bool pre = m.kind == MessageKind::kPreVoteReply;
-  if (m.term > vote_.term && !(pre && m.yes)) return StandAside(m.term, 0);
-  if (!m.yes || role_ != (pre ? Role::kPreCandidate : Role::kCandidate)) return;
-  if (m.term != vote_.term + (pre ? 1 : 0)) return;
+  if (m.term > hard_state_.term && !(pre && m.accepted)) return BecomeFollower(m.term, 0);
+  if (!m.accepted || role_ != (pre ? Role::kPreCandidate : Role::kCandidate)) return;
+  if (m.term != hard_state_.term + (pre ? 1 : 0)) return;
   votes_.insert(m.from);
-  TryWin();
+  CountVotes();
 }
 
 // A leader that a majority no longer answers (6.2) stands down: whoever asks it is told to go elsewhere.
 void Log::CheckQuorum() {
-  quorum_at_ = now_ + settings_.election;
-  std::size_t heard = IsVoter(self_) ? 1 : 0;
-  for (const ServerId id : members_.voters) {
+  next_quorum_check_ = now_ + settings_.election_timeout;
+  std::size_t responders = IsVoter(self_) ? 1 : 0;
+  for (const ServerId id : configuration_.voters) {
     const auto it = progress_.find(id);
-    heard += it != progress_.end() && now_ - it->second.heard < settings_.election ? 1 : 0;
+    responders +=
+        it != progress_.end() && now_ - it->second.last_contact < settings_.election_timeout ? 1 : 0;
   }
-  if (heard < Majority()) StandAside(vote_.term, 0);
+  if (responders < Majority()) BecomeFollower(hard_state_.term, 0);
 }
 
 }  // namespace heronway::cluster::log
--- a/src/cluster/log/log.cpp
+++ b/src/cluster/log/log.cpp
@@ -7,56 +7,62 @@
 
 namespace heronway::cluster::log {
 
-Log::Log(const Settings& settings, ServerId self, OnDisk disk, std::uint64_t seed, Micros now)
-    : settings_(settings), self_(self), random_(seed), now_(now), vote_(disk.vote), snapshot_(disk.snapshot) {
+Log::Log(const Settings& settings, ServerId self, PersistentState disk, std::uint64_t seed, Micros now)
+    : settings_(settings),
+      self_(self),
+      random_(seed),
+      now_(now),
+      hard_state_(disk.hard_state),
+      snapshot_(disk.snapshot) {
   if (snapshot_ != nullptr) {
-    base_ = commit_ = applied_ = snapshot_->index;
+    base_index_ = commit_index_ = last_applied_ = snapshot_->index;
     base_term_ = snapshot_->term;
   }
-  log_.assign(disk.entries.begin(), disk.entries.end());
-  durable_ = last();
-  MembersFromLog();
-  ResetElection();
-  // Alone, it waits for nobody's word.
-  if (members_.voters.size() == 1 && IsVoter(self_)) election_at_ = now;
+  entries_.assign(disk.entries.begin(), disk.entries.end());
+  durable_index_ = last_index();
+  LoadConfigurationFromLog();
+  ResetElectionTimer();
+  // Alone, it awaiting_reply for nobody's word.
+  if (configuration_.voters.size() == 1 && IsVoter(self_)) election_deadline_ = now;
 }
 
 void Log::Handle(Micros now, Event event, std::vector<Effect>& effects) {
   now_ = std::max(now_, now);
   effects_ = &effects;
   std::visit([this](auto& e) { On(e); }, event);
-  const Micros due = role_ == Role::kLeader ? std::min(heartbeat_at_, quorum_at_) : election_at_;
+  const Micros due =
+      role_ == Role::kLeader ? std::min(next_heartbeat_, next_quorum_check_) : election_deadline_;
   effects.push_back(WakeAt{due});
   effects_ = nullptr;
 }
 
 std::optional<Term> Log::TermAt(Index index) const {
-  if (index == base_) return base_term_;
-  if (index > base_ && index <= last()) return At(index).term;
+  if (index == base_index_) return base_term_;
+  if (index > base_index_ && index <= last_index()) return At(index).term;
   if (snapshot_ != nullptr && index == snapshot_->index) return snapshot_->term;
   return std::nullopt;
 }
 
-std::vector<Log::Lag> Log::Followers() const {
-  std::vector<Lag> all;
-  for (const auto& [id, p] : progress_) all.push_back({id, p.match, p.heard});
+std::vector<Log::FollowerStatus> Log::Followers() const {
+  std::vector<FollowerStatus> all;
+  for (const auto& [id, p] : progress_) all.push_back({id, p.match_index, p.last_contact});
   return all;
 }
 
 void Log::On(Tick&) {
   if (role_ == Role::kLeader) {
-    if (now_ >= quorum_at_) CheckQuorum();
-    if (role_ == Role::kLeader && now_ >= heartbeat_at_) {
-      LookAtTransfer();
-      FeedAll(true);
+    if (now_ >= next_quorum_check_) CheckQuorum();
+    if (role_ == Role::kLeader && now_ >= next_heartbeat_) {
+      AdvanceTransfer();
+      ReplicateToAll(true);
     }
     return;
   }
-  if (now_ < election_at_) return;
+  if (now_ < election_deadline_) return;
   // Only a voter stands: a learner, and a server that is not of the group (yet, or any more), would disturb
   // the others for nothing.
-  if (!IsVoter(self_)) return ResetElection();
-  Stand(false, false);
+  if (!IsVoter(self_)) return ResetElectionTimer();
+  StartElection(false, false);
 }
 
 void Log::On(Received& e) {
@@ -64,35 +70,36 @@
   if (m.to != self_ || m.from == self_) return;
   switch (m.kind) {
     case MessageKind::kPreVote:
-    case MessageKind::kVote:
+    case MessageKind::kRequestVote:
       return OnVoteRequest(m);
     case MessageKind::kPreVoteReply:
-    case MessageKind::kVoteReply:
+    case MessageKind::kRequestVoteReply:
       return OnVoteReply(m);
-    case MessageKind::kAppend:
-    case MessageKind::kSnapshot:
-      if (m.term < vote_.term) {
+    case MessageKind::kAppendEntries:
+    case MessageKind::kInstallSnapshot:
+      if (m.term < hard_state_.term) {
         // Guards against a leader that goes on for ever beside a server whose term is higher: it learns of
         // it.
-        Message no = Make(MessageKind::kAppendReply, m.from);
+        Message no = MakeMessage(MessageKind::kAppendEntriesReply, m.from);
         no.index = m.index;
-        return Post(std::move(no));
+        return SendMessage(std::move(no));
       }
-      if (m.term > vote_.term || role_ != Role::kFollower || leader_ != m.from) StandAside(m.term, m.from);
-      heard_leader_ = now_;
-      ResetElection();
-      return m.kind == MessageKind::kAppend ? OnAppend(m) : OnSnapshot(m);
-    case MessageKind::kAppendReply:
-    case MessageKind::kSnapshotReply: {
-      if (m.term > vote_.term) return StandAside(m.term, 0);
+      if (m.term > hard_state_.term || role_ != Role::kFollower || leader_ != m.from)
+        BecomeFollower(m.term, m.from);
+      last_leader_contact_ = now_;
+      ResetElectionTimer();
+      return m.kind == MessageKind::kAppendEntries ? OnAppendEntries(m) : OnInstallSnapshot(m);
+    case MessageKind::kAppendEntriesReply:
+    case MessageKind::kInstallSnapshotReply: {
+      if (m.term > hard_state_.term) return BecomeFollower(m.term, 0);
       const auto it = progress_.find(m.from);
-      if (role_ != Role::kLeader || m.term < vote_.term || it == progress_.end()) return;
-      it->second.heard = now_;
-      return m.kind == MessageKind::kAppendReply ? OnAppendReply(m) : OnSnapshotReply(m);
+      if (role_ != Role::kLeader || m.term < hard_state_.term || it == progress_.end()) return;
+      it->second.last_contact = now_;
+      return m.kind == MessageKind::kAppendEntriesReply ? OnAppendEntriesReply(m) : OnInstallSnapshotReply(m);
     }
     case MessageKind::kTimeoutNow:
-      if (m.term == vote_.term && role_ == Role::kFollower && m.from == leader_ && IsVoter(self_))
-        Stand(true, true);
+      if (m.term == hard_state_.term && role_ == Role::kFollower && m.from == leader_ && IsVoter(self_))
+        StartElection(true, true);
       return;
   }
 }
@@ -100,44 +107,45 @@
 // ---- proposals
 
 void Log::On(Propose& e) {
-  if (role_ != Role::kLeader || transfer_ != 0 ||
-      (waiting_bytes_ > 0 && waiting_bytes_ + e.data.size() > settings_.most_waiting)) {
-    ++counters_.refused;
-    return effects_->push_back(Refused{e.ticket, role_ == Role::kLeader ? self_ : leader_});
+  if (role_ != Role::kLeader || transfer_target_ != 0 ||
+      (uncommitted_bytes_ > 0 && uncommitted_bytes_ + e.data.size() > settings_.max_uncommitted_bytes)) {
+    ++counters_.rejected;
+    return effects_->push_back(Rejected{e.request_id, role_ == Role::kLeader ? self_ : leader_});
   }
   ++counters_.proposals;
   auto entry = std::make_shared<Entry>();
-  entry->term = vote_.term;
+  entry->term = hard_state_.term;
   entry->data = std::move(e.data);
-  effects_->push_back(Proposed{e.ticket, last() + 1, vote_.term});
+  effects_->push_back(Proposed{e.request_id, last_index() + 1, hard_state_.term});
   Append(std::move(entry));
-  LookAtCommit();  // a group of one, with its disk ahead
+  AdvanceCommitIndex();  // a group of one, with its disk ahead
 }
 
 // One change at a time, each of one server, so that any two majorities meet; and none before an entry of the
 // leader's own term is committed (the correction of 2015: else two leaders' changes may not have met).
-bool Log::ChangeAllowed(const ChangeMembers& e, Members& next) const {
-  if (role_ != Role::kLeader || transfer_ != 0 || e.server == 0) return false;
-  if (members_at_ > commit_ || own_first_ == 0 || own_first_ > commit_) return false;
-  next = members_;
+bool Log::ChangeAllowed(const ChangeConfiguration& e, Configuration& next) const {
+  if (role_ != Role::kLeader || transfer_target_ != 0 || e.server == 0) return false;
+  if (configuration_index_ > commit_index_ || term_start_index_ == 0 || term_start_index_ > commit_index_)
+    return false;
+  next = configuration_;
   const auto voter = std::lower_bound(next.voters.begin(), next.voters.end(), e.server);
   const bool votes = voter != next.voters.end() && *voter == e.server;
   const auto learner = std::lower_bound(next.learners.begin(), next.learners.end(), e.server);
   const bool learns = learner != next.learners.end() && *learner == e.server;
   switch (e.change) {
-    case Change::kAddLearner:
+    case ConfigurationChange::kAddLearner:
       if (votes || learns) return false;
       next.learners.insert(learner, e.server);
       return true;
-    case Change::kPromote: {
-      // Guards the majority: a voter that is far behind would hold up every commit until it has caught up.
+    case ConfigurationChange::kPromote: {
+      // Guards the majority: a voter that is far behind would hold up every leader_commit until it has caught up.
       const auto it = progress_.find(e.server);
-      if (!learns || it == progress_.end() || it->second.match < commit_) return false;
+      if (!learns || it == progress_.end() || it->second.match_index < commit_index_) return false;
       next.learners.erase(learner);
       next.voters.insert(voter, e.server);
       return true;
     }
-    case Change::kRemove:
+    case ConfigurationChange::kRemove:
       if (votes && next.voters.size() == 1) return false;
       if (votes) next.voters.erase(voter);
       if (learns) next.learners.erase(learner);
@@ -146,185 +154,187 @@
   return false;
 }
 
-void Log::On(ChangeMembers& e) {
-  Members next;
+void Log::On(ChangeConfiguration& e) {
+  Configuration next;
   if (!ChangeAllowed(e, next)) {
-    ++counters_.refused;
-    return effects_->push_back(Refused{e.ticket, role_ == Role::kLeader ? self_ : leader_});
+    ++counters_.rejected;
+    return effects_->push_back(Rejected{e.request_id, role_ == Role::kLeader ? self_ : leader_});
   }
   auto entry = std::make_shared<Entry>();
-  entry->term = vote_.term;
-  entry->kind = EntryKind::kMembers;
-  entry->members = std::move(next);
-  effects_->push_back(Proposed{e.ticket, last() + 1, vote_.term});
+  entry->term = hard_state_.term;
+  entry->kind = EntryKind::kConfiguration;
+  entry->configuration = std::move(next);
+  effects_->push_back(Proposed{e.request_id, last_index() + 1, hard_state_.term});
   Append(std::move(entry));
-  LookAtCommit();
+  AdvanceCommitIndex();
 }
 
-void Log::On(Transfer& e) {
+void Log::On(TransferLeadership& e) {
   if (role_ != Role::kLeader || e.to == self_ || !IsVoter(e.to)) return;
-  transfer_ = e.to;
-  transfer_ends_ = now_ + settings_.election;
-  handed_over_ = false;
-  LookAtTransfer();
+  transfer_target_ = e.to;
+  transfer_deadline_ = now_ + settings_.election_timeout;
+  timeout_now_sent_ = false;
+  AdvanceTransfer();
 }
 
-// Read index: what is committed when a majority still takes this server for its leader. Needs an entry of its
+// ReadIndex index: what is committed when a majority still takes this server for its leader. Needs an entry of its
 // own term committed: before, it may not know of the last ones that the leader before it committed.
-void Log::On(Read& e) {
-  if (role_ != Role::kLeader || own_first_ == 0 || commit_ < own_first_) {
-    ++counters_.refused;
-    return effects_->push_back(Refused{e.ticket, role_ == Role::kLeader ? self_ : leader_});
+void Log::On(ReadIndex& e) {
+  if (role_ != Role::kLeader || term_start_index_ == 0 || commit_index_ < term_start_index_) {
+    ++counters_.rejected;
+    return effects_->push_back(Rejected{e.request_id, role_ == Role::kLeader ? self_ : leader_});
   }
-  reads_.push_back({e.ticket, ++round_, commit_});
-  FeedAll(true);
-  LookAtReads();
+  pending_reads_.push_back({e.request_id, ++read_round_, commit_index_});
+  ReplicateToAll(true);
+  CompleteReads();
 }
 
 // ---- the disk
 
-// Has the disk keep the vote, the entries from `from` on, or a snapshot. Messages that rest on the vote wait
-// for it in Post; those that say what is on disk are made when it is.
-void Log::Save(bool vote, Index from, SnapshotPtr snapshot) {
+// Has the disk keep the hard_state, the entries from `from` on, or a snapshot. Messages that rest on the hard_state wait
+// for it in SendMessage; those that say what is on disk are made when it is.
+void Log::RequestPersist(bool hard_state, Index from, SnapshotPtr snapshot) {
   Persist p;
-  p.number = ++saves_;
-  if (vote) {
-    p.vote = vote_;
-    vote_save_ = saves_;
+  p.number = ++persists_requested_;
+  if (hard_state) {
+    p.hard_state = hard_state_;
+    hard_state_persist_ = persists_requested_;
   }
   p.snapshot = std::move(snapshot);
   p.from = from;
   if (from != 0) {
-    p.entries.assign(log_.begin() + static_cast<std::ptrdiff_t>(from - base_ - 1), log_.end());
-    durable_ = std::min(durable_, from - 1);
-    for (auto& [number, upto] : writes_) upto = std::min(upto, from - 1);
-    writes_.emplace_back(saves_, last());
+    p.entries.assign(entries_.begin() + static_cast<std::ptrdiff_t>(from - base_index_ - 1), entries_.end());
+    durable_index_ = std::min(durable_index_, from - 1);
+    for (auto& [number, upto] : pending_writes_) upto = std::min(upto, from - 1);
+    pending_writes_.emplace_back(persists_requested_, last_index());
   }
   effects_->push_back(std::move(p));
 }
 
 void Log::On(Persisted& e) {
-  saved_ = std::max(saved_, e.number);
-  const Index before = durable_;
-  while (!writes_.empty() && writes_.front().first <= saved_) {
-    durable_ = std::max(durable_, writes_.front().second);
-    writes_.pop_front();
+  persists_done_ = std::max(persists_done_, e.number);
+  const Index before = durable_index_;
+  while (!pending_writes_.empty() && pending_writes_.front().first <= persists_done_) {
+    durable_index_ = std::max(durable_index_, pending_writes_.front().second);
+    pending_writes_.pop_front();
   }
-  while (!held_.empty() && held_.front().number <= saved_) {
-    Message m = std::move(held_.front().message);
-    held_.pop_front();
-    Post(std::move(m));
+  while (!delayed_messages_.empty() && delayed_messages_.front().number <= persists_done_) {
+    Message m = std::move(delayed_messages_.front().message);
+    delayed_messages_.pop_front();
+    SendMessage(std::move(m));
   }
-  if (to_restore_ != nullptr && restore_save_ <= saved_) {
-    const SnapshotPtr snapshot = std::exchange(to_restore_, nullptr);
-    applied_ = snapshot->index;  // nothing is applied while it is on its way
+  if (snapshot_to_restore_ != nullptr && restore_persist_ <= persists_done_) {
+    const SnapshotPtr snapshot = std::exchange(snapshot_to_restore_, nullptr);
+    last_applied_ = snapshot->index;  // nothing is applied while it is on its way
     effects_->push_back(Restore{snapshot});
-    durable_ = std::max(durable_, snapshot->index);
-    if (role_ == Role::kFollower && leader_ != 0) AppendReply(true, std::min(verified_, durable_), 0);
-    CommitTo(commit_);
-  } else if (durable_ > before && role_ == Role::kFollower && leader_ != 0) {
-    AppendReply(true, std::min(verified_, durable_), 0);
+    durable_index_ = std::max(durable_index_, snapshot->index);
+    if (role_ == Role::kFollower && leader_ != 0)
+      SendAppendReply(true, std::min(verified_index_, durable_index_), 0);
+    CommitTo(commit_index_);
+  } else if (durable_index_ > before && role_ == Role::kFollower && leader_ != 0) {
+    SendAppendReply(true, std::min(verified_index_, durable_index_), 0);
   }
-  if (role_ == Role::kPreCandidate || role_ == Role::kCandidate) TryWin();
-  if (role_ == Role::kLeader) LookAtCommit();
+  if (role_ == Role::kPreCandidate || role_ == Role::kCandidate) CountVotes();
+  if (role_ == Role::kLeader) AdvanceCommitIndex();
 }
 
-void Log::Post(Message m) {
+void Log::SendMessage(Message m) {
   // A term that is forgotten in a crash must not have been told to anybody.
-  if (vote_save_ > saved_ && m.term >= vote_.term) {
-    held_.push_back({vote_save_, std::move(m)});
+  if (hard_state_persist_ > persists_done_ && m.term >= hard_state_.term) {
+    delayed_messages_.push_back({hard_state_persist_, std::move(m)});
     return;
   }
-  ++counters_.sent;
+  ++counters_.messages_sent;
   effects_->push_back(Send{std::move(m)});
 }
 
-Message Log::Make(MessageKind kind, ServerId to) const {
+Message Log::MakeMessage(MessageKind kind, ServerId to) const {
   Message m;
   m.kind = kind;
   m.from = self_;
   m.to = to;
-  m.term = vote_.term;
+  m.term = hard_state_.term;
   return m;
 }
 
 // ---- the log
 
 void Log::Append(EntryPtr entry) {
-  waiting_bytes_ += entry->data.size();
-  const bool members = entry->kind == EntryKind::kMembers;
-  log_.push_back(std::move(entry));
-  ++counters_.appended;
-  Save(false, last());
-  if (members) {
-    members_at_ = last();
-    TakeMembers(Members(log_.back()->members));
+  uncommitted_bytes_ += entry->data.size();
+  const bool configuration = entry->kind == EntryKind::kConfiguration;
+  entries_.push_back(std::move(entry));
+  ++counters_.entries_appended;
+  RequestPersist(false, last_index());
+  if (configuration) {
+    configuration_index_ = last_index();
+    SetConfiguration(Configuration(entries_.back()->configuration));
   }
-  FeedAll(false);
+  ReplicateToAll(false);
 }
 
 void Log::TruncateFrom(Index index) {
-  counters_.truncated += last() - index + 1;
-  log_.resize(index - base_ - 1);
-  if (members_at_ >= index) MembersFromLog();
+  counters_.entries_truncated += last_index() - index + 1;
+  entries_.resize(index - base_index_ - 1);
+  if (configuration_index_ >= index) LoadConfigurationFromLog();
 }
 
 // The newest that the log names; else the snapshot's.
-void Log::MembersFromLog() {
-  for (Index i = last(); i > base_; --i) {
-    if (At(i).kind != EntryKind::kMembers) continue;
-    members_at_ = i;
-    return TakeMembers(Members(At(i).members));
+void Log::LoadConfigurationFromLog() {
+  for (Index i = last_index(); i > base_index_; --i) {
+    if (At(i).kind != EntryKind::kConfiguration) continue;
+    configuration_index_ = i;
+    return SetConfiguration(Configuration(At(i).configuration));
   }
-  members_at_ = snapshot_ == nullptr ? 0 : snapshot_->index;
-  TakeMembers(snapshot_ == nullptr ? Members{} : Members(snapshot_->members));
+  configuration_index_ = snapshot_ == nullptr ? 0 : snapshot_->index;
+  SetConfiguration(snapshot_ == nullptr ? Configuration{} : Configuration(snapshot_->configuration));
 }
 
-void Log::TakeMembers(const Members& members) {
-  members_ = members;
+void Log::SetConfiguration(const Configuration& configuration) {
+  configuration_ = configuration;
   if (role_ != Role::kLeader) return;
   for (auto it = progress_.begin(); it != progress_.end();) {
-    const bool stays = std::binary_search(members_.voters.begin(), members_.voters.end(), it->first) ||
-                       std::binary_search(members_.learners.begin(), members_.learners.end(), it->first);
+    const bool stays =
+        std::binary_search(configuration_.voters.begin(), configuration_.voters.end(), it->first) ||
+        std::binary_search(configuration_.learners.begin(), configuration_.learners.end(), it->first);
     it = stays ? std::next(it) : progress_.erase(it);
   }
-  for (const auto* servers : {&members_.voters, &members_.learners}) {
+  for (const auto* servers : {&configuration_.voters, &configuration_.learners}) {
     for (const ServerId id : *servers) {
       if (id == self_ || progress_.contains(id)) continue;
       Progress& p = progress_[id];
-      p.next = last() + 1;
-      p.heard = now_;
+      p.next_index = last_index() + 1;
+      p.last_contact = now_;
     }
   }
-  if (transfer_ != 0 && !IsVoter(transfer_)) transfer_ = 0;
+  if (transfer_target_ != 0 && !IsVoter(transfer_target_)) transfer_target_ = 0;
 }
 
 bool Log::IsVoter(ServerId id) const {
-  return std::binary_search(members_.voters.begin(), members_.voters.end(), id);
+  return std::binary_search(configuration_.voters.begin(), configuration_.voters.end(), id);
 }
 
 // The snapshot stands for the entries up to its index; some are kept behind it for those that lag a little.
 void Log::On(Compact& e) {
-  if (e.index <= (snapshot_ == nullptr ? 0 : snapshot_->index) || e.index > applied_) return;
+  if (e.index <= (snapshot_ == nullptr ? 0 : snapshot_->index) || e.index > last_applied_) return;
   const auto term = TermAt(e.index);
   if (!term) return;
   auto snapshot = std::make_shared<Snapshot>();
   snapshot->index = e.index;
   snapshot->term = *term;
   snapshot->data = std::move(e.data);
-  snapshot->members = snapshot_ == nullptr ? Members{} : snapshot_->members;
-  for (Index i = std::min(e.index, last()); i > base_; --i) {
-    if (At(i).kind != EntryKind::kMembers) continue;
-    snapshot->members = At(i).members;
+  snapshot->configuration = snapshot_ == nullptr ? Configuration{} : snapshot_->configuration;
+  for (Index i = std::min(e.index, last_index()); i > base_index_; --i) {
+    if (At(i).kind != EntryKind::kConfiguration) continue;
+    snapshot->configuration = At(i).configuration;
     break;
   }
   snapshot_ = snapshot;
-  Save(false, 0, snapshot);
-  const Index keep_from = e.index > settings_.trailing ? e.index - settings_.trailing : 0;
-  if (keep_from <= base_) return;
+  RequestPersist(false, 0, snapshot);
+  const Index keep_from = e.index > settings_.trailing_entries ? e.index - settings_.trailing_entries : 0;
+  if (keep_from <= base_index_) return;
   base_term_ = *TermAt(keep_from);
-  log_.erase(log_.begin(), log_.begin() + static_cast<std::ptrdiff_t>(keep_from - base_));
-  base_ = keep_from;
+  entries_.erase(entries_.begin(), entries_.begin() + static_cast<std::ptrdiff_t>(keep_from - base_index_));
+  base_index_ = keep_from;
 }
 
 }  // namespace heronway::cluster::log
--- a/src/cluster/log/log.h
+++ b/src/cluster/log/log.h
@@ -1,12 +1,12 @@
-// A replicated log, as one server of its group sees it: `(state, event, now) -> effects`. No I/O, no clock,
-// no thread; the same events, seed and times give the same effects. A `Log` is a value: a copy goes on by
-// itself, which is how tests explore it.
+// Replicated log: the Raft state machine of one server of a group. It maps (state, event, time) to effects
+// and does no I/O: it has no clock and no threads, and the same events, seed and times give the same effects.
+// A `Log` is a value type; tests copy it to explore different continuations.
 //
 // Source: Raft, as in Ongaro, "Consensus: Bridging Theory and Practice", 2014: elections and replication
-// (chapter 3), leadership transfer (3.10), one change of members at a time (4.1, with the correction of 2015:
-// not before an entry of the leader's own term is committed), learners (4.2.1), pre-vote and leader
-// stickiness (4.2.3, 9.6), compaction and snapshots in pieces (chapter 5), read index (6.4), and the leader's
-// disk beside the network (10.2.1). docs/copies.md says what differs, and why.
+// (chapter 3), leadership transfer (3.10), single-server membership changes (4.1, with the correction of
+// 2015: none before an entry of the leader's own term is committed), learners (4.2.1), pre-vote and leader
+// stickiness (4.2.3, 9.6), log compaction and chunked snapshots (chapter 5), ReadIndex (6.4), and writing to
+// the leader's disk in parallel with replication (10.2.1). docs/copies.md lists the differences and reasons.
 #ifndef HERONWAY_CLUSTER_LOG_LOG_H_
 #define HERONWAY_CLUSTER_LOG_LOG_H_
 
@@ -22,241 +22,250 @@
 namespace heronway::cluster::log {
 
 struct Settings {
-  Micros election = 1'000'000;  // a follower that hears no leader for this long, to twice this, stands
-  Micros heartbeat = 150'000;   // between a leader's signs of life
-  std::size_t most_message = 64 * 1024;        // bytes of entries, or of a snapshot's piece, in a message
-  std::size_t most_under_way = 1024 * 1024;    // bytes sent to a follower and not heard of
-  std::size_t most_waiting = 8 * 1024 * 1024;  // bytes proposed and not committed; more are refused
-  std::size_t trailing = 1'024;                // entries kept behind a snapshot, for those that lag a little
+  Micros election_timeout = 1'000'000;  // lower bound; each timeout is random, up to twice this
+  Micros heartbeat_interval = 150'000;
+  std::size_t max_message_bytes = 64 * 1024;            // entries or snapshot chunk in one message
+  std::size_t max_inflight_bytes = 1024 * 1024;         // sent to one follower and not acknowledged
+  std::size_t max_uncommitted_bytes = 8 * 1024 * 1024;  // proposals beyond this are rejected
+  std::size_t trailing_entries = 1'024;  // kept before a snapshot's index, for followers slightly behind
 };
 
-// What was on disk at the start. A group begins with the same `snapshot` of index 0, naming its members, on
-// each of them; a server that is to be added begins with nothing.
-struct OnDisk {
-  Vote vote;
+// State loaded from disk at the start. Every initial server of a group starts with the same snapshot of index
+// 0, which holds the configuration; a server that is to be added later starts empty.
+struct PersistentState {
+  HardState hard_state;
   SnapshotPtr snapshot;
-  std::vector<EntryPtr> entries;  // behind the snapshot
+  std::vector<EntryPtr> entries;  // after the snapshot
 };
 
-// ---- events
-struct Tick {};  // due at the last WakeAt; later does no harm
+// Events.
+struct Tick {};  // due at the time of the last WakeAt; may be late
 struct Received {
   Message message;
 };
 struct Propose {
-  std::uint64_t ticket = 0;  // the host's, for Proposed or Refused
+  std::uint64_t request_id = 0;  // chosen by the caller; returned in Proposed or Rejected
   std::string data;
 };
-enum class Change : std::uint8_t { kAddLearner, kPromote, kRemove };
-struct ChangeMembers {
-  std::uint64_t ticket = 0;
-  Change change = Change::kAddLearner;
+enum class ConfigurationChange : std::uint8_t { kAddLearner, kPromote, kRemove };
+struct ChangeConfiguration {
+  std::uint64_t request_id = 0;  // returned in Proposed or Rejected
+  ConfigurationChange change = ConfigurationChange::kAddLearner;
   ServerId server = 0;
 };
-struct Transfer {  // hand leadership to this voter, once it has everything; refused or given up in silence
+// Transfers leadership to a voter once its log is complete. There is no reply: an invalid request is ignored,
+// and the transfer is abandoned after an election timeout.
+struct TransferLeadership {
   ServerId to = 0;
 };
-struct Read {
-  std::uint64_t ticket = 0;  // for ReadAt or Refused
+struct ReadIndex {               // asks for an index at which a read is linearizable
+  std::uint64_t request_id = 0;  // returned in ReadReady or Rejected
 };
-struct Persisted {  // everything up to this Persist is on disk
+struct Persisted {  // everything up to the Persist of this number is durable
   std::uint64_t number = 0;
 };
-struct Compact {  // the state machine as it was after `index`, which it has applied
+struct Compact {  // `data` is the state machine after `index`, which it has applied
   Index index = 0;
   std::string data;
 };
-using Event = std::variant<Tick, Received, Propose, ChangeMembers, Transfer, Read, Persisted, Compact>;
+using Event = std::variant<Tick, Received, Propose, ChangeConfiguration, TransferLeadership, ReadIndex,
+                           Persisted, Compact>;
 
-// ---- effects, to be carried out in their order
-struct WakeAt {  // replaces the one before
+// Effects, to be executed in order.
+struct WakeAt {  // replaces the previous one
   Micros at;
 };
-struct Persist {  // answered by Persisted, in order
+struct Persist {  // confirmed by Persisted, in order
   std::uint64_t number;
-  std::optional<Vote> vote;
-  SnapshotPtr snapshot;  // replaces the one before; entries up to it may go
-  Index from;            // entries from here on are replaced by these; 0: none are
+  std::optional<HardState> hard_state;
+  SnapshotPtr snapshot;  // replaces the previous one; entries that it covers may be deleted
+  Index from;            // `entries` replace all entries from this index on; 0: no entries are written
   std::vector<EntryPtr> entries;
 };
 struct Send {
   Message message;
 };
-struct Apply {  // committed: `first` and on, each once and in order
+struct Apply {  // committed entries, the first at index `first`; each is applied once and in order
   Index first;
   std::vector<EntryPtr> entries;
 };
-struct Restore {  // the state machine is to be this; what it was is behind
+struct Restore {  // replace the state machine by the snapshot, which is newer
   SnapshotPtr snapshot;
 };
 enum class Role : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 struct RoleChanged {
   Role role;
   Term term;
-  ServerId leader;  // 0: not known
+  ServerId leader;  // 0: unknown
 };
-struct Proposed {  // in the log at `index`; it is committed if the entry applied there is of this term
-  std::uint64_t ticket;
+struct Proposed {  // appended at `index`; committed if the entry applied at that index has this term
+  std::uint64_t request_id;
   Index index;
   Term term;
 };
-struct Refused {  // it is not in the log, and will not be
-  std::uint64_t ticket;
-  ServerId leader;  // who may take it; 0: not known
+struct Rejected {  // the request was not appended and never will be
+  std::uint64_t request_id;
+  ServerId leader;  // the server to try instead; 0: unknown
 };
-struct ReadAt {  // what is applied up to `index` is no older than the asking
-  std::uint64_t ticket;
+struct ReadReady {  // a read is linearizable once `index` has been applied
+  std::uint64_t request_id;
   Index index;
 };
-using Effect = std::variant<WakeAt, Persist, Send, Apply, Restore, RoleChanged, Proposed, Refused, ReadAt>;
+using Effect =
+    std::variant<WakeAt, Persist, Send, Apply, Restore, RoleChanged, Proposed, Rejected, ReadReady>;
 
 struct Counters {
-  std::uint64_t elections = 0, won = 0, stood_down = 0, proposals = 0, refused = 0;
-  std::uint64_t sent = 0, appended = 0, truncated = 0, snapshots_sent = 0, snapshots_taken = 0;
+  std::uint64_t elections = 0, elections_won = 0, stepped_down = 0, proposals = 0, rejected = 0;
+  std::uint64_t messages_sent = 0, entries_appended = 0, entries_truncated = 0;
+  std::uint64_t snapshots_sent = 0, snapshots_received = 0;
 };
 
 class Log {
  public:
-  Log(const Settings& settings, ServerId self, OnDisk disk, std::uint64_t seed, Micros now);
+  Log(const Settings& settings, ServerId self, PersistentState disk, std::uint64_t seed, Micros now);
 
+  // Processes one event and appends its effects to `effects`. `now` that lies in the past is ignored.
   void Handle(Micros now, Event event, std::vector<Effect>& effects);
 
   ServerId self() const { return self_; }
   Role role() const { return role_; }
-  Term term() const { return vote_.term; }
-  ServerId vote() const { return vote_.of; }
+  Term term() const { return hard_state_.term; }
+  ServerId voted_for() const { return hard_state_.voted_for; }
   ServerId leader() const { return leader_; }
-  Index committed() const { return commit_; }
-  Index applied() const { return applied_; }
-  Index last() const { return base_ + log_.size(); }
-  Index first() const { return base_ + 1; }  // of those that are kept
-  Index durable() const { return durable_; }
-  const Members& members() const { return members_; }
+  Index commit_index() const { return commit_index_; }
+  Index last_applied() const { return last_applied_; }
+  Index last_index() const { return base_index_ + entries_.size(); }
+  Index first_index() const { return base_index_ + 1; }  // of the entries that are kept
+  Index durable_index() const { return durable_index_; }
+  const Configuration& configuration() const { return configuration_; }
   const SnapshotPtr& snapshot() const { return snapshot_; }
+  // The term of an entry; nothing if the index is beyond the log or compacted.
   std::optional<Term> TermAt(Index index) const;
-  const Entry& At(Index index) const { return *EntryAt(index); }  // first() to last()
-  const EntryPtr& EntryAt(Index index) const { return log_[index - base_ - 1]; }
+  // An entry from first_index() to last_index().
+  const Entry& At(Index index) const { return *EntryAt(index); }
+  const EntryPtr& EntryAt(Index index) const { return entries_[index - base_index_ - 1]; }
   const Counters& counters() const { return counters_; }
-  // Of a follower, as the leader knows it: what it has on disk, and when it was last heard.
-  struct Lag {
+  struct FollowerStatus {  // of a follower or learner, as known to the leader
     ServerId server;
-    Index match;
-    Micros heard;
+    Index match_index;    // durable on the follower
+    Micros last_contact;  // time of its last reply
   };
-  std::vector<Lag> Followers() const;
-  // Of all that decides what it does next but times and chance: equal ones go on alike. For exploring.
+  // Empty unless this server is the leader.
+  std::vector<FollowerStatus> Followers() const;
+  // Hash of all state that determines future behaviour, except times and the random generator. State space
+  // exploration uses it to recognise states it has already visited.
   std::uint64_t Digest() const;
 
  private:
-  enum class Pace : std::uint8_t { kProbe, kStream, kSnapshot };
+  enum class ProgressState : std::uint8_t { kProbe, kReplicate, kSnapshot };
   struct Progress {
-    Index match = 0, next = 1;
-    Pace pace = Pace::kProbe;
-    bool waits = false;                                   // kProbe, kSnapshot: one message is out
-    std::deque<std::pair<Index, std::size_t>> under_way;  // kStream: last entry, and bytes
-    std::size_t bytes = 0;
-    Micros heard = 0;
-    std::uint64_t round = 0;
-    SnapshotPtr snapshot;  // kSnapshot
+    Index match_index = 0, next_index = 1;
+    ProgressState state = ProgressState::kProbe;
+    bool awaiting_reply = false;                         // kProbe, kSnapshot: one message is in flight
+    std::deque<std::pair<Index, std::size_t>> inflight;  // kReplicate: last entry and bytes of each message
+    std::size_t inflight_bytes = 0;
+    Micros last_contact = 0;
+    std::uint64_t read_round = 0;  // the last round it acknowledged
+    SnapshotPtr snapshot;          // kSnapshot
     std::uint64_t offset = 0;
   };
-  struct Held {
-    std::uint64_t number;  // of the Persist that it waits for
+  struct DelayedMessage {
+    std::uint64_t number;  // of the Persist it waits for
     Message message;
   };
-  struct WaitingRead {
-    std::uint64_t ticket, round;
+  struct PendingRead {
+    std::uint64_t request_id, read_round;
     Index index;
   };
 
   void On(Tick&);
   void On(Received& e);
   void On(Propose& e);
-  void On(ChangeMembers& e);
-  void On(Transfer& e);
-  void On(Read& e);
+  void On(ChangeConfiguration& e);
+  void On(TransferLeadership& e);
+  void On(ReadIndex& e);
   void On(Persisted& e);
   void On(Compact& e);
 
   // election.cpp
   void Become(Role role, Term term, ServerId leader);
-  void StandAside(Term term, ServerId leader);
-  void Stand(bool for_real, bool handed);
-  void Lead();
-  void TryWin();
+  void BecomeFollower(Term term, ServerId leader);
+  void StartElection(bool real_vote, bool leadership_transfer);
+  void BecomeLeader();
+  void CountVotes();
   void OnVoteRequest(const Message& m);
   void OnVoteReply(const Message& m);
   void CheckQuorum();
-  void ResetElection();
-  bool HearsLeader() const;
-  bool UpToDate(const Message& m) const;
+  void ResetElectionTimer();
+  bool HasActiveLeader() const;
+  bool IsUpToDate(const Message& m) const;
   bool IsVoter(ServerId id) const;
-  std::size_t Majority() const { return members_.voters.size() / 2 + 1; }
+  std::size_t Majority() const { return configuration_.voters.size() / 2 + 1; }
 
   // replication.cpp
-  void OnAppend(const Message& m);
-  void OnAppendReply(const Message& m);
-  void OnSnapshot(const Message& m);
-  void OnSnapshotReply(const Message& m);
-  void Feed(ServerId to, Progress& p, bool heartbeat);
-  void FeedSnapshot(ServerId to, Progress& p);
-  void FeedAll(bool heartbeat);
+  void OnAppendEntries(const Message& m);
+  void OnAppendEntriesReply(const Message& m);
+  void OnInstallSnapshot(const Message& m);
+  void OnInstallSnapshotReply(const Message& m);
+  void Replicate(ServerId to, Progress& p, bool heartbeat);
+  void SendSnapshotChunk(ServerId to, Progress& p);
+  void ReplicateToAll(bool heartbeat);
   void Append(EntryPtr entry);
   void TruncateFrom(Index index);
-  void TakeMembers(const Members& members);
-  void MembersFromLog();
-  void LookAtCommit();
+  void SetConfiguration(const Configuration& configuration);
+  void LoadConfigurationFromLog();
+  void AdvanceCommitIndex();
   void CommitTo(Index index);
-  void LookAtReads();
-  void LookAtTransfer();
-  void AppendReply(bool yes, Index index, Index hint);
+  void CompleteReads();
+  void AdvanceTransfer();
+  void SendAppendReply(bool accepted, Index index, Index match_hint);
 
-  void Save(bool vote, Index from, SnapshotPtr snapshot = nullptr);
-  void Post(Message message);
-  Message Make(MessageKind kind, ServerId to) const;
-  bool ChangeAllowed(const ChangeMembers& e, Members& next) const;
+  void RequestPersist(bool hard_state, Index from, SnapshotPtr snapshot = nullptr);
+  void SendMessage(Message message);
+  Message MakeMessage(MessageKind kind, ServerId to) const;
+  bool ChangeAllowed(const ChangeConfiguration& e, Configuration& next) const;
 
   Settings settings_;
   ServerId self_;
   pcg32 random_;
   Micros now_;
-  std::vector<Effect>* effects_ = nullptr;
+  std::vector<Effect>* effects_ = nullptr;  // set while an event is handled
 
-  // On disk, or on its way there.
-  Vote vote_;
+  // Durable, or being written.
+  HardState hard_state_;
   SnapshotPtr snapshot_;
-  Index base_ = 0;  // the entry before the first that is kept
+  Index base_index_ = 0;  // the entry before the first one kept
   Term base_term_ = 0;
-  std::deque<EntryPtr> log_;
-  std::uint64_t saves_ = 0, saved_ = 0;                 // Persists asked for, and done
-  std::uint64_t vote_save_ = 0;                         // the one that has `vote_`
-  std::deque<std::pair<std::uint64_t, Index>> writes_;  // by number: the last entry on disk after it
-  Index durable_ = 0;
-  std::deque<Held> held_;
+  std::deque<EntryPtr> entries_;
+  std::uint64_t persists_requested_ = 0, persists_done_ = 0;    // numbers of the last Persist and Persisted
+  std::uint64_t hard_state_persist_ = 0;                        // the Persist that contains `hard_state_`
+  std::deque<std::pair<std::uint64_t, Index>> pending_writes_;  // Persist number, last entry it makes durable
+  Index durable_index_ = 0;
+  std::deque<DelayedMessage> delayed_messages_;
 
-  Members members_;
-  Index members_at_ = 0;  // the entry that they are from
-  Index commit_ = 0, applied_ = 0;
+  Configuration configuration_;
+  Index configuration_index_ = 0;  // the entry that contains it
+  Index commit_index_ = 0, last_applied_ = 0;
   Role role_ = Role::kFollower;
   ServerId leader_ = 0;
-  Micros election_at_ = 0, heard_leader_ = -1;
-  Index verified_ = 0;       // a follower's: like the leader's log up to here
-  std::uint64_t round_ = 0;  // a leader's last; a follower's: its leader's
+  Micros election_deadline_ = 0, last_leader_contact_ = -1;  // -1: none from the current leader
+  Index verified_index_ = 0;      // follower: the log matches the leader's up to here
+  std::uint64_t read_round_ = 0;  // leader: its last round; follower: the last one received
   std::set<ServerId> votes_;
-  // A leader's.
+  // Leader only.
   std::map<ServerId, Progress> progress_;
-  Micros heartbeat_at_ = 0, quorum_at_ = 0;
-  Index own_first_ = 0;  // its own first entry
-  std::size_t waiting_bytes_ = 0;
-  std::vector<WaitingRead> reads_;
-  ServerId transfer_ = 0;
-  Micros transfer_ends_ = 0;
-  bool handed_over_ = false;  // the TimeoutNow is out
-  // A snapshot that comes in pieces.
-  Snapshot coming_;
-  std::uint64_t coming_size_ = 0;
-  SnapshotPtr to_restore_;
-  std::uint64_t restore_save_ = 0;
+  Micros next_heartbeat_ = 0, next_quorum_check_ = 0;
+  Index term_start_index_ = 0;  // the first entry of its own term; 0: not the leader
+  std::size_t uncommitted_bytes_ = 0;
+  std::vector<PendingRead> pending_reads_;
+  ServerId transfer_target_ = 0;
+  Micros transfer_deadline_ = 0;
+  bool timeout_now_sent_ = false;
+  // A snapshot received in chunks, and one that is restored when it is durable.
+  Snapshot incoming_snapshot_;
+  std::uint64_t incoming_size_ = 0;
+  SnapshotPtr snapshot_to_restore_;
+  std::uint64_t restore_persist_ = 0;
   Counters counters_;
 };
 
--- a/src/cluster/log/replication.cpp
+++ b/src/cluster/log/replication.cpp
@@ -14,249 +14,255 @@
 
 // ---- a leader's side
 
-void Log::FeedAll(bool heartbeat) {
-  if (heartbeat) heartbeat_at_ = now_ + settings_.heartbeat;
-  for (auto& [id, p] : progress_) Feed(id, p, heartbeat);
+void Log::ReplicateToAll(bool heartbeat) {
+  if (heartbeat) next_heartbeat_ = now_ + settings_.heartbeat_interval;
+  for (auto& [id, p] : progress_) Replicate(id, p, heartbeat);
 }
 
 // Sends what the follower does not have and the bounds allow; a heartbeat is sent whatever they say.
-void Log::Feed(ServerId to, Progress& p, bool heartbeat) {
-  if (p.pace != Pace::kSnapshot && !TermAt(p.next - 1)) {
-    p.pace = Pace::kSnapshot;
+void Log::Replicate(ServerId to, Progress& p, bool heartbeat) {
+  if (p.state != ProgressState::kSnapshot && !TermAt(p.next_index - 1)) {
+    p.state = ProgressState::kSnapshot;
     p.snapshot = snapshot_;
     p.offset = 0;
-    p.waits = false;
-    p.under_way.clear();
-    p.bytes = 0;
+    p.awaiting_reply = false;
+    p.inflight.clear();
+    p.inflight_bytes = 0;
     ++counters_.snapshots_sent;
   }
-  if (p.pace == Pace::kSnapshot) {
-    if (!p.waits || heartbeat) FeedSnapshot(to, p);
+  if (p.state == ProgressState::kSnapshot) {
+    if (!p.awaiting_reply || heartbeat) SendSnapshotChunk(to, p);
     return;
   }
-  if (p.pace == Pace::kProbe) {
-    if (p.waits && !heartbeat) return;
-    p.waits = true;
+  if (p.state == ProgressState::kProbe) {
+    if (p.awaiting_reply && !heartbeat) return;
+    p.awaiting_reply = true;
   }
   bool sent = false;
   for (;;) {
-    const bool more = p.pace == Pace::kStream && p.next <= last() && p.bytes < settings_.most_under_way;
-    if (!more && (sent || (p.pace == Pace::kStream && !heartbeat))) return;
-    Message m = Make(MessageKind::kAppend, to);
-    m.index = p.next - 1;
+    const bool more = p.state == ProgressState::kReplicate && p.next_index <= last_index() &&
+                      p.inflight_bytes < settings_.max_inflight_bytes;
+    if (!more && (sent || (p.state == ProgressState::kReplicate && !heartbeat))) return;
+    Message m = MakeMessage(MessageKind::kAppendEntries, to);
+    m.index = p.next_index - 1;
     m.log_term = *TermAt(m.index);
-    m.commit = commit_;
-    m.round = round_;
+    m.leader_commit = commit_index_;
+    m.read_round = read_round_;
     std::size_t bytes = 0;
-    while (more && p.next <= last() && bytes < settings_.most_message) {
-      m.entries.push_back(log_[p.next - base_ - 1]);
+    while (more && p.next_index <= last_index() && bytes < settings_.max_message_bytes) {
+      m.entries.push_back(entries_[p.next_index - base_index_ - 1]);
       bytes += m.entries.back()->data.size() + kEntryBytes;
-      ++p.next;
+      ++p.next_index;
     }
     if (more) {
-      p.under_way.emplace_back(p.next - 1, bytes);
-      p.bytes += bytes;
+      p.inflight.emplace_back(p.next_index - 1, bytes);
+      p.inflight_bytes += bytes;
     }
-    Post(std::move(m));
+    SendMessage(std::move(m));
     sent = true;
   }
 }
 
-void Log::FeedSnapshot(ServerId to, Progress& p) {
+void Log::SendSnapshotChunk(ServerId to, Progress& p) {
   const Snapshot& s = *p.snapshot;
-  Message m = Make(MessageKind::kSnapshot, to);
+  Message m = MakeMessage(MessageKind::kInstallSnapshot, to);
   m.index = s.index;
   m.log_term = s.term;
-  m.members = s.members;
-  m.size = s.data.size();
+  m.configuration = s.configuration;
+  m.total_size = s.data.size();
   m.offset = p.offset;
-  m.bytes = s.data.substr(p.offset, settings_.most_message);
-  p.waits = true;
-  Post(std::move(m));
+  m.chunk = s.data.substr(p.offset, settings_.max_message_bytes);
+  p.awaiting_reply = true;
+  SendMessage(std::move(m));
 }
 
-void Log::OnAppendReply(const Message& m) {
+void Log::OnAppendEntriesReply(const Message& m) {
   Progress& p = progress_.at(m.from);
-  p.round = std::max(p.round, m.round);
-  if (!m.yes) {
+  p.read_round = std::max(p.read_round, m.read_round);
+  if (!m.accepted) {
     // Guards against old replies: what is known to be on its disk is not doubted.
-    if (p.pace == Pace::kSnapshot || m.index <= p.match) return;
-    p.pace = Pace::kProbe;
-    p.next = std::min(std::max(p.match + 1, std::min(m.hint + 1, m.index)), last() + 1);
-    p.waits = false;
-    p.under_way.clear();
-    p.bytes = 0;
-    LookAtReads();
-    return Feed(m.from, p, false);
+    if (p.state == ProgressState::kSnapshot || m.index <= p.match_index) return;
+    p.state = ProgressState::kProbe;
+    p.next_index =
+        std::min(std::max(p.match_index + 1, std::min(m.match_hint + 1, m.index)), last_index() + 1);
+    p.awaiting_reply = false;
+    p.inflight.clear();
+    p.inflight_bytes = 0;
+    CompleteReads();
+    return Replicate(m.from, p, false);
   }
-  p.match = std::max(p.match, std::min(m.index, last()));
-  p.next = std::max(p.next, p.match + 1);
-  while (!p.under_way.empty() && p.under_way.front().first <= p.match) {
-    p.bytes -= p.under_way.front().second;
-    p.under_way.pop_front();
+  p.match_index = std::max(p.match_index, std::min(m.index, last_index()));
+  p.next_index = std::max(p.next_index, p.match_index + 1);
+  while (!p.inflight.empty() && p.inflight.front().first <= p.match_index) {
+    p.inflight_bytes -= p.inflight.front().second;
+    p.inflight.pop_front();
   }
-  if (p.pace == Pace::kProbe || (p.pace == Pace::kSnapshot && p.match >= p.snapshot->index)) {
-    p.pace = Pace::kStream;
-    p.next = p.match + 1;
-    p.waits = false;
+  if (p.state == ProgressState::kProbe ||
+      (p.state == ProgressState::kSnapshot && p.match_index >= p.snapshot->index)) {
+    p.state = ProgressState::kReplicate;
+    p.next_index = p.match_index + 1;
+    p.awaiting_reply = false;
     p.snapshot = nullptr;
   }
   const ServerId from = m.from;
-  LookAtCommit();
+  AdvanceCommitIndex();
   if (role_ != Role::kLeader) return;  // it has taken itself out of the group
-  LookAtReads();
-  LookAtTransfer();
-  if (const auto it = progress_.find(from); it != progress_.end()) Feed(from, it->second, false);
+  CompleteReads();
+  AdvanceTransfer();
+  if (const auto it = progress_.find(from); it != progress_.end()) Replicate(from, it->second, false);
 }
 
-void Log::OnSnapshotReply(const Message& m) {
+void Log::OnInstallSnapshotReply(const Message& m) {
   Progress& p = progress_.at(m.from);
-  if (p.pace != Pace::kSnapshot || m.index != p.snapshot->index) return;
+  if (p.state != ProgressState::kSnapshot || m.index != p.snapshot->index) return;
   p.offset = std::min<std::uint64_t>(m.offset, p.snapshot->data.size());
-  FeedSnapshot(m.from, p);
+  SendSnapshotChunk(m.from, p);
 }
 
 // On the disks of a majority, and of this leader's own term (3.6.2: an older entry is committed only with one
 // of the leader's own behind it).
-void Log::LookAtCommit() {
+void Log::AdvanceCommitIndex() {
   if (role_ != Role::kLeader) return;
   std::vector<Index> on_disk;
-  for (const ServerId id : members_.voters) {
+  for (const ServerId id : configuration_.voters) {
     const auto it = progress_.find(id);
-    on_disk.push_back(id == self_ ? durable_ : it == progress_.end() ? 0 : it->second.match);
+    on_disk.push_back(id == self_ ? durable_index_ : it == progress_.end() ? 0 : it->second.match_index);
   }
   if (on_disk.empty()) return;
   std::sort(on_disk.begin(), on_disk.end(), std::greater<>());
   const Index index = on_disk[Majority() - 1];
-  if (index <= commit_ || TermAt(index) != vote_.term) return;
+  if (index <= commit_index_ || TermAt(index) != hard_state_.term) return;
   CommitTo(index);
-  if (!IsVoter(self_) && members_at_ <= commit_) StandAside(vote_.term, 0);
+  if (!IsVoter(self_) && configuration_index_ <= commit_index_) BecomeFollower(hard_state_.term, 0);
 }
 
 void Log::CommitTo(Index index) {
-  commit_ = std::max(commit_, std::min(index, last()));
-  if (to_restore_ != nullptr || applied_ >= commit_) return;
+  commit_index_ = std::max(commit_index_, std::min(index, last_index()));
+  if (snapshot_to_restore_ != nullptr || last_applied_ >= commit_index_) return;
   Apply apply;
-  apply.first = applied_ + 1;
-  for (Index i = apply.first; i <= commit_; ++i) {
-    apply.entries.push_back(log_[i - base_ - 1]);
-    waiting_bytes_ -= std::min(waiting_bytes_, apply.entries.back()->data.size());
+  apply.first = last_applied_ + 1;
+  for (Index i = apply.first; i <= commit_index_; ++i) {
+    apply.entries.push_back(entries_[i - base_index_ - 1]);
+    uncommitted_bytes_ -= std::min(uncommitted_bytes_, apply.entries.back()->data.size());
   }
-  applied_ = commit_;
+  last_applied_ = commit_index_;
   effects_->push_back(std::move(apply));
 }
 
-void Log::LookAtReads() {
-  std::erase_if(reads_, [this](const WaitingRead& r) {
-    std::size_t heard = IsVoter(self_) ? 1 : 0;
-    for (const ServerId id : members_.voters) {
+void Log::CompleteReads() {
+  std::erase_if(pending_reads_, [this](const PendingRead& r) {
+    std::size_t confirmations = IsVoter(self_) ? 1 : 0;
+    for (const ServerId id : configuration_.voters) {
       const auto it = progress_.find(id);
-      heard += it != progress_.end() && it->second.round >= r.round ? 1 : 0;
+      confirmations += it != progress_.end() && it->second.read_round >= r.read_round ? 1 : 0;
     }
-    if (heard < Majority()) return false;
-    effects_->push_back(ReadAt{r.ticket, r.index});
+    if (confirmations < Majority()) return false;
+    effects_->push_back(ReadReady{r.request_id, r.index});
     return true;
   });
 }
 
 // Nothing is taken meanwhile, so that the other can have it all; where it does not lead in time, this one
 // goes on.
-void Log::LookAtTransfer() {
-  if (transfer_ == 0) return;
-  const auto it = progress_.find(transfer_);
-  if (now_ >= transfer_ends_ || it == progress_.end()) {
-    transfer_ = 0;
+void Log::AdvanceTransfer() {
+  if (transfer_target_ == 0) return;
+  const auto it = progress_.find(transfer_target_);
+  if (now_ >= transfer_deadline_ || it == progress_.end()) {
+    transfer_target_ = 0;
     return;
   }
-  if (handed_over_ || it->second.match != last()) return;
-  handed_over_ = true;
-  Post(Make(MessageKind::kTimeoutNow, transfer_));
+  if (timeout_now_sent_ || it->second.match_index != last_index()) return;
+  timeout_now_sent_ = true;
+  SendMessage(MakeMessage(MessageKind::kTimeoutNow, transfer_target_));
 }
 
 // ---- a follower's side
 
-void Log::AppendReply(bool yes, Index index, Index hint) {
-  Message m = Make(MessageKind::kAppendReply, leader_);
-  m.yes = yes;
+void Log::SendAppendReply(bool accepted, Index index, Index match_hint) {
+  Message m = MakeMessage(MessageKind::kAppendEntriesReply, leader_);
+  m.accepted = accepted;
   m.index = index;
-  m.hint = hint;
-  m.round = round_;
-  Post(std::move(m));
+  m.match_hint = match_hint;
+  m.read_round = read_round_;
+  SendMessage(std::move(m));
 }
 
-void Log::OnAppend(const Message& m) {
-  round_ = std::max(round_, m.round);
-  // Up to `commit_` all logs are alike: what lies before it is passed over.
+void Log::OnAppendEntries(const Message& m) {
+  read_round_ = std::max(read_round_, m.read_round);
+  // Up to `commit_index_` all logs are alike: what lies before it is passed over.
   Index at = m.index;
   std::size_t n = 0;
-  if (at < commit_) {
-    n = std::min<std::size_t>(commit_ - at, m.entries.size());
+  if (at < commit_index_) {
+    n = std::min<std::size_t>(commit_index_ - at, m.entries.size());
     at += n;
-    if (at < commit_) return AppendReply(true, std::min(verified_, durable_), 0);
+    if (at < commit_index_) return SendAppendReply(true, std::min(verified_index_, durable_index_), 0);
   } else if (TermAt(at) != m.log_term) {
     // The leader goes on before all of a term that differs: one message a term, not an entry.
-    Index hint = std::min(at, last());
-    if (at <= last()) {
+    Index match_hint = std::min(at, last_index());
+    if (at <= last_index()) {
       const Term differs = *TermAt(at);
-      while (hint > commit_ && TermAt(hint) == differs) --hint;
+      while (match_hint > commit_index_ && TermAt(match_hint) == differs) --match_hint;
     }
-    return AppendReply(false, at, std::max(hint, commit_));
+    return SendAppendReply(false, at, std::max(match_hint, commit_index_));
   }
   Index from = 0;
   for (; n < m.entries.size(); ++n) {
     ++at;
-    if (at <= last()) {
+    if (at <= last_index()) {
       if (At(at).term == m.entries[n]->term) continue;
       TruncateFrom(at);
     }
     if (from == 0) from = at;
-    log_.push_back(m.entries[n]);
-    ++counters_.appended;
-    if (m.entries[n]->kind == EntryKind::kMembers) {
-      members_at_ = at;
-      TakeMembers(Members(m.entries[n]->members));
+    entries_.push_back(m.entries[n]);
+    ++counters_.entries_appended;
+    if (m.entries[n]->kind == EntryKind::kConfiguration) {
+      configuration_index_ = at;
+      SetConfiguration(Configuration(m.entries[n]->configuration));
     }
   }
-  if (from != 0) Save(false, from);
-  verified_ = std::max(verified_, at);
-  CommitTo(std::min(m.commit, verified_));
-  AppendReply(true, std::min(verified_, durable_), 0);
+  if (from != 0) RequestPersist(false, from);
+  verified_index_ = std::max(verified_index_, at);
+  CommitTo(std::min(m.leader_commit, verified_index_));
+  SendAppendReply(true, std::min(verified_index_, durable_index_), 0);
 }
 
-void Log::OnSnapshot(const Message& m) {
-  if (m.index <= commit_) {
-    verified_ = std::max(verified_, commit_);
-    return AppendReply(true, std::min(verified_, durable_), 0);
+void Log::OnInstallSnapshot(const Message& m) {
+  if (m.index <= commit_index_) {
+    verified_index_ = std::max(verified_index_, commit_index_);
+    return SendAppendReply(true, std::min(verified_index_, durable_index_), 0);
   }
-  if (coming_.index != m.index || coming_.term != m.log_term || coming_size_ != m.size) {
-    coming_ = Snapshot{m.index, m.log_term, m.members, {}};
-    coming_size_ = m.size;
+  if (incoming_snapshot_.index != m.index || incoming_snapshot_.term != m.log_term ||
+      incoming_size_ != m.total_size) {
+    incoming_snapshot_ = Snapshot{m.index, m.log_term, m.configuration, {}};
+    incoming_size_ = m.total_size;
   }
   // Guards against pieces that come twice, late or out of order: only the next one is taken.
-  if (m.offset == coming_.data.size() && m.bytes.size() <= m.size - m.offset) coming_.data += m.bytes;
-  if (coming_.data.size() < coming_size_) {
-    Message reply = Make(MessageKind::kSnapshotReply, m.from);
+  if (m.offset == incoming_snapshot_.data.size() && m.chunk.size() <= m.total_size - m.offset)
+    incoming_snapshot_.data += m.chunk;
+  if (incoming_snapshot_.data.size() < incoming_size_) {
+    Message reply = MakeMessage(MessageKind::kInstallSnapshotReply, m.from);
     reply.index = m.index;
-    reply.offset = coming_.data.size();
-    return Post(std::move(reply));
+    reply.offset = incoming_snapshot_.data.size();
+    return SendMessage(std::move(reply));
   }
-  ++counters_.snapshots_taken;
-  auto snapshot = std::make_shared<Snapshot>(std::exchange(coming_, Snapshot{}));
-  coming_size_ = 0;
-  if (snapshot->index <= last() && TermAt(snapshot->index) == snapshot->term) {
-    log_.erase(log_.begin(), log_.begin() + static_cast<std::ptrdiff_t>(snapshot->index - base_));
+  ++counters_.snapshots_received;
+  auto snapshot = std::make_shared<Snapshot>(std::exchange(incoming_snapshot_, Snapshot{}));
+  incoming_size_ = 0;
+  if (snapshot->index <= last_index() && TermAt(snapshot->index) == snapshot->term) {
+    entries_.erase(entries_.begin(),
+                   entries_.begin() + static_cast<std::ptrdiff_t>(snapshot->index - base_index_));
   } else {
-    counters_.truncated += log_.size();
-    log_.clear();
+    counters_.entries_truncated += entries_.size();
+    entries_.clear();
   }
-  base_ = snapshot->index;
+  base_index_ = snapshot->index;
   base_term_ = snapshot->term;
   snapshot_ = snapshot;
-  commit_ = verified_ = std::max(commit_, snapshot->index);
-  MembersFromLog();
-  Save(false, base_ + 1, snapshot);
-  to_restore_ = snapshot;
-  restore_save_ = saves_;
+  commit_index_ = verified_index_ = std::max(commit_index_, snapshot->index);
+  LoadConfigurationFromLog();
+  RequestPersist(false, base_index_ + 1, snapshot);
+  snapshot_to_restore_ = snapshot;
+  restore_persist_ = persists_requested_;
 }
 
 }  // namespace heronway::cluster::log
--- a/src/cluster/log/types.h
+++ b/src/cluster/log/types.h
@@ -1,4 +1,4 @@
-// What a replicated log is made of: entries, who keeps copies, what is on disk, messages. No wire, no clock.
+// Data types of the replicated log: entries, configurations, persistent state and messages between servers.
 #ifndef HERONWAY_CLUSTER_LOG_TYPES_H_
 #define HERONWAY_CLUSTER_LOG_TYPES_H_
 
@@ -11,81 +11,86 @@
 namespace heronway::cluster::log {
 
 using Micros = std::int64_t;  // times and durations, in microseconds
-using Index = std::uint64_t;  // of an entry; the first is 1
-using Term = std::uint64_t;   // of a leadership; the first is 1
-using ServerId =
-    std::uint64_t;  // of a copy: a member's name and its disk's. A new disk is another server. 0: none
+using Index = std::uint64_t;  // position of an entry in the log; the first is 1, 0 means none
+using Term = std::uint64_t;   // the first election is in term 1
+// Identifies a server of a group: a member together with its disk. A member that starts on a new disk is a
+// new server, because it has lost the votes and entries it acknowledged. 0 means none.
+using ServerId = std::uint64_t;
 
-// Bounds on what is believed of others: far beyond any life of a group, and far from where numbers wrap.
-inline constexpr Term kMostTerm = Term{1} << 56;
-inline constexpr Index kMostIndex = Index{1} << 56;
+// Upper bounds for values received from peers: no group reaches them, and sums with them cannot overflow.
+inline constexpr Term kMaxTerm = Term{1} << 56;
+inline constexpr Index kMaxIndex = Index{1} << 56;
 
-// Who keeps copies. Voters count for majorities; learners are sent everything and count for nothing.
-struct Members {
-  std::vector<ServerId> voters, learners;  // each in rising order
-  auto operator<=>(const Members&) const = default;
+// The servers of a group. Voters count towards majorities; learners receive all entries but have no vote.
+struct Configuration {
+  std::vector<ServerId> voters, learners;  // each in ascending order without duplicates
+  auto operator<=>(const Configuration&) const = default;
 };
 
 enum class EntryKind : std::uint8_t {
-  kData,     // a record batch of the state machine
-  kNothing,  // a leader's first, by which what came before is committed
-  kMembers,  // in force as soon as it is in the log
+  kData,           // a command for the state machine
+  kNoOp,           // first entry of a leader; committing it commits the entries of earlier terms
+  kConfiguration,  // takes effect as soon as it is in the log
 };
 struct Entry {
   Term term = 0;
   EntryKind kind = EntryKind::kData;
   std::string data;
-  Members members;  // kMembers
+  Configuration configuration;  // kConfiguration
 };
-using EntryPtr = std::shared_ptr<const Entry>;  // shared by the log, messages, the disk and the state machine
+// Entries are immutable and shared by the log, messages, the disk writer and the state machine.
+using EntryPtr = std::shared_ptr<const Entry>;
 
-// What has to be on disk before a message that rests on it leaves.
-struct Vote {
+// Raft's currentTerm and votedFor. Has to be durable before a message that depends on it is sent.
+struct HardState {
   Term term = 0;
-  ServerId of = 0;  // whom this server voted for in that term
-  auto operator<=>(const Vote&) const = default;
+  ServerId voted_for = 0;  // in `term`; 0 if no vote was cast
+  auto operator<=>(const HardState&) const = default;
 };
-struct Snapshot {  // the state machine after `index`; `index` 0: a group's beginning
+struct Snapshot {  // the state machine after it applied `index`; index 0 is the initial state of a group
   Index index = 0;
   Term term = 0;
-  Members members;
+  Configuration configuration;
   std::string data;
 };
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
 enum class MessageKind : std::uint8_t {
-  kPreVote,        // would you vote for me? raises nobody's term
-  kPreVoteReply,   //
-  kVote,           //
-  kVoteReply,      //
-  kAppend,         // entries behind `index`; without any it is a heartbeat
-  kAppendReply,    //
-  kSnapshot,       // a piece of one
-  kSnapshotReply,  // how much of it is here
-  kTimeoutNow,     // stand for election at once: leadership is handed to you
+  kPreVote,               // asks whether a vote would be granted; does not change the receiver's term
+  kPreVoteReply,          //
+  kRequestVote,           //
+  kRequestVoteReply,      //
+  kAppendEntries,         // entries after `index`; without entries it is a heartbeat
+  kAppendEntriesReply,    //
+  kInstallSnapshot,       // one chunk of a snapshot
+  kInstallSnapshotReply,  // how much of the snapshot has been received
+  kTimeoutNow,            // leadership transfer: the receiver starts an election at once
 };
-inline constexpr int kMessageKinds = 9;
+inline constexpr int kMessageKindCount = 9;
 
 struct Message {
-  MessageKind kind = MessageKind::kAppend;
+  MessageKind kind = MessageKind::kAppendEntries;
   ServerId from = 0, to = 0;
   Term term = 0;
-  // The last entry of a candidate; the entry before `entries`; in replies what is on disk here, or the one
-  // that did not match; the snapshot's.
+  // Vote requests: the candidate's last entry. AppendEntries: the entry before `entries`; its reply: the last
+  // durable entry that matches the leader's log, or the entry that did not match. InstallSnapshot and its
+  // reply: the last entry that the snapshot covers.
   Index index = 0;
-  Term log_term = 0;        // of that entry
-  Index commit = 0;         // kAppend
-  Index hint = 0;           // kAppendReply that says no: the leader should go on from here
-  std::uint64_t round = 0;  // kAppend, and its reply: a number that only grows, for reads
-  bool yes = false;         // of replies
-  bool handed = false;      // kVote: the leader itself asked for it
+  Term log_term = 0;                 // term of the entry at `index`
+  Index leader_commit = 0;           // kAppendEntries: the leader's commit index
+  Index match_hint = 0;              // rejected kAppendEntriesReply: the leader continues after this entry
+  std::uint64_t read_round = 0;      // kAppendEntries and its reply: monotonic round that confirms reads
+  bool accepted = false;             // replies: the vote was granted, or the entries matched
+  bool leadership_transfer = false;  // kRequestVote: the election was started by kTimeoutNow
   std::vector<EntryPtr> entries;
-  // kSnapshot: `bytes` from `offset` of `size`; the reply's `offset` is what it wants next.
-  Members members;
-  std::uint64_t offset = 0, size = 0;
-  std::string bytes;
+  // kInstallSnapshot: `chunk` starts at byte `offset` of `total_size`. In the reply, `offset` is the next byte
+  // that the follower expects.
+  Configuration configuration;
+  std::uint64_t offset = 0, total_size = 0;
+  std::string chunk;
 };
 
+// 64-bit hashes of all fields, for comparing values in tests and in state space exploration.
 std::uint64_t DigestOf(const Entry& entry);
 std::uint64_t DigestOf(const Message& message);
 
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -11,7 +11,8 @@
 
 log::Settings ReadLog(const Section& in) {
   log::Settings s;
-  s.form = static_cast<log::Form>(in.OneOf("form", static_cast<std::size_t>(s.form), {"text", "json"}));
+  s.format =
+      static_cast<log::LineFormat>(in.OneOf("form", static_cast<std::size_t>(s.format), {"text", "json"}));
   s.level = static_cast<log::Level>(
       in.OneOf("level", static_cast<std::size_t>(s.level), {"debug", "info", "warn", "error"}));
   s.connections = in.Flag("connections", s.connections);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -13,9 +13,9 @@
 namespace heronway::log {
 namespace {
 
-constexpr const char* kTextLine = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
+constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
 // The message is the rest of the object, without its opening brace.
-constexpr const char* kJsonLine = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v)";
+constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v)";
 
 spdlog::level::level_enum ToSpdlog(Level level) {
   constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
@@ -26,22 +26,22 @@
 struct Logger {
   Logger() : out("heronway", std::make_shared<spdlog::sinks::stderr_sink_st>()) { Set({}); }
   void Set(const Settings& settings) {
-    form = settings.form;
+    format = settings.format;
     out.set_level(ToSpdlog(settings.level));
-    out.set_formatter(std::make_unique<spdlog::pattern_formatter>(form == Form::kJson ? kJsonLine : kTextLine,
-                                                                  spdlog::pattern_time_type::utc));
+    out.set_formatter(std::make_unique<spdlog::pattern_formatter>(
+        format == LineFormat::kJson ? kJsonPattern : kTextPattern, spdlog::pattern_time_type::utc));
   }
   spdlog::logger out;
-  Form form = Form::kText;
+  LineFormat format = LineFormat::kText;
 };
 
-Logger& Its() {
+Logger& GlobalLogger() {
   static Logger logger;
   return logger;
 }
 
 // Guards the line: a value with a blank, a quote or a line's end in it is quoted and its odd bytes escaped.
-void AppendText(fmt::memory_buffer& line, std::string_view text) {
+void AppendQuoted(fmt::memory_buffer& line, std::string_view text) {
   const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
     return c > 0x20 && c < 0x7f && c != '"' && c != '\\';
   });
@@ -60,17 +60,17 @@
   line.push_back('"');
 }
 
-std::string Text(std::string_view name, std::initializer_list<Field> fields) {
+std::string TextLine(std::string_view name, std::initializer_list<Field> fields) {
   fmt::memory_buffer line;
   line.append(name.data(), name.data() + name.size());
   for (const Field& f : fields) {
     line.push_back(' ');
-    if (!f.bare) fmt::format_to(std::back_inserter(line), "{}=", f.key);
+    if (!f.value_only) fmt::format_to(std::back_inserter(line), "{}=", f.key);
     if (const auto* text = std::get_if<std::string_view>(&f.value)) {
-      if (f.bare) {
+      if (f.value_only) {
         line.append(text->data(), text->data() + text->size());
       } else {
-        AppendText(line, *text);
+        AppendQuoted(line, *text);
       }
     } else if (const auto* number = std::get_if<double>(&f.value)) {
       fmt::format_to(std::back_inserter(line), "{:.3f}", *number);
@@ -81,7 +81,7 @@
   return fmt::to_string(line);
 }
 
-std::string JsonRest(std::string_view name, std::initializer_list<Field> fields) {
+std::string JsonTail(std::string_view name, std::initializer_list<Field> fields) {
   Json::Value object;
   object["event"] = std::string(name);
   for (const Field& f : fields) {
@@ -102,21 +102,22 @@
 
 }  // namespace
 
-void Configure(const Settings& settings) { Its().Set(settings); }
+void Configure(const Settings& settings) { GlobalLogger().Set(settings); }
 
-bool Enabled(Level level) { return Its().out.should_log(ToSpdlog(level)); }
+bool Enabled(Level level) { return GlobalLogger().out.should_log(ToSpdlog(level)); }
 
 void Event(Level level, std::string_view name, std::initializer_list<Field> fields) {
   if (!Enabled(level)) return;
-  Logger& logger = Its();
-  logger.out.log(ToSpdlog(level), spdlog::string_view_t(logger.form == Form::kJson ? JsonRest(name, fields)
-                                                                                   : Text(name, fields)));
+  Logger& logger = GlobalLogger();
+  logger.out.log(ToSpdlog(level),
+                 spdlog::string_view_t(logger.format == LineFormat::kJson ? JsonTail(name, fields)
+                                                                          : TextLine(name, fields)));
 }
 
-std::string Format(Form form, std::string_view name, std::initializer_list<Field> fields) {
-  if (form == Form::kText) return Text(name, fields);
+std::string Format(LineFormat format, std::string_view name, std::initializer_list<Field> fields) {
+  if (format == LineFormat::kText) return TextLine(name, fields);
   std::string line(1, '{');
-  line.append(JsonRest(name, fields));
+  line.append(JsonTail(name, fields));
   return line;
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -17,10 +17,10 @@
 namespace heronway::log {
 
 enum class Level : std::uint8_t { kDebug, kInfo, kWarn, kError };
-enum class Form : std::uint8_t { kText, kJson };
+enum class LineFormat : std::uint8_t { kText, kJson };
 
 struct Settings {
-  Form form = Form::kText;
+  LineFormat format = LineFormat::kText;
   Level level = Level::kInfo;  // what is under it is left out
   bool connections = true;     // one line for each connection that ends
 };
@@ -28,7 +28,8 @@
 struct Field {
   using Value = std::variant<std::string_view, std::uint64_t, std::int64_t, double>;
   template <typename T>
-  Field(std::string_view key_, const T& value_, bool bare_ = false) : key(key_), bare(bare_) {
+  Field(std::string_view key_, const T& value_, bool value_only_ = false)
+      : key(key_), value_only(value_only_) {
     if constexpr (std::is_floating_point_v<T>) {
       value = static_cast<double>(value_);
     } else if constexpr (std::is_unsigned_v<T>) {
@@ -41,7 +42,7 @@
   }
   std::string_view key;
   Value value;
-  bool bare = false;  // in text, the value alone
+  bool value_only = false;  // in text, the value alone
 };
 
 // In force from then on; before, text at kInfo.
@@ -49,7 +50,7 @@
 bool Enabled(Level level);
 void Event(Level level, std::string_view name, std::initializer_list<Field> fields);
 // What a line looks like without time and level; for tests.
-std::string Format(Form form, std::string_view name, std::initializer_list<Field> fields);
+std::string Format(LineFormat format, std::string_view name, std::initializer_list<Field> fields);
 
 }  // namespace heronway::log
 
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -25,13 +25,13 @@
 };
 enum EventType { kSubmit, kSchedule, kEvict, kFail, kFinish, kKill, kLost, kUpdatePending, kUpdateRunning };
 
-constexpr std::size_t kMostLine = 4096;
+constexpr std::size_t kMaxLineBytes = 4096;
 
-[[noreturn]] void Fault(std::uint64_t line, const std::string& what) {
+[[noreturn]] void ThrowAtLine(std::uint64_t line, const std::string& what) {
   throw TraceError("trace: line " + std::to_string(line) + ": " + what);
 }
 
-std::vector<std::string_view> Cells(std::string_view line) {
+std::vector<std::string_view> SplitCells(std::string_view line) {
   std::vector<std::string_view> cells;
   for (;;) {
     const auto comma = std::min(line.find(','), line.size());
@@ -41,11 +41,11 @@
   }
 }
 
-std::uint64_t Whole(std::string_view cell, const char* name, std::uint64_t line) {
+std::uint64_t ParseNumber(std::string_view cell, const char* name, std::uint64_t line) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(cell.data(), cell.data() + cell.size(), value);
   if (cell.empty() || error != std::errc() || end != cell.data() + cell.size())
-    Fault(line, std::string(name) + " is not a whole number");
+    ThrowAtLine(line, std::string(name) + " is not a whole number");
   return value;
 }
 
@@ -68,62 +68,62 @@
 
 }  // namespace
 
-void Reader::Take(const std::string& line, std::uint64_t number) {
-  ++sum_.lines;
-  if (line.size() > kMostLine) Fault(number, "longer than 4096 bytes");
+void Reader::AddLine(const std::string& line, std::uint64_t number) {
+  ++summary_.lines;
+  if (line.size() > kMaxLineBytes) ThrowAtLine(number, "longer than 4096 bytes");
   std::string_view text = line;
   if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
-  const auto cells = Cells(text);
+  const auto cells = SplitCells(text);
   if (cells.size() != kColumns)
-    Fault(number, std::to_string(cells.size()) + " columns, not " + std::to_string(kColumns));
-  const std::uint64_t stamp = Whole(cells[kTime], "the time", number);
-  const std::uint64_t event = Whole(cells[kEvent], "the event type", number);
-  Whole(cells[kJob], "the job", number);
-  Whole(cells[kIndex], "the task index", number);
-  if (event > kUpdateRunning) Fault(number, "the event type is not one of 0 to 8");
+    ThrowAtLine(number, std::to_string(cells.size()) + " columns, not " + std::to_string(kColumns));
+  const std::uint64_t stamp = ParseNumber(cells[kTime], "the time", number);
+  const std::uint64_t event = ParseNumber(cells[kEvent], "the event type", number);
+  ParseNumber(cells[kJob], "the job", number);
+  ParseNumber(cells[kIndex], "the task index", number);
+  if (event > kUpdateRunning) ThrowAtLine(number, "the event type is not one of 0 to 8");
   // The trace marks what came after its end with the largest time; it has no place on the clock.
-  const bool on_clock = stamp < (1ULL << 62);
-  const auto now = on_clock ? static_cast<core::Micros>(stamp) : sum_.last;
-  if (now < sum_.last) Fault(number, "the time goes backwards");
-  if (sum_.first < 0) sum_.first = now;
-  sum_.last = now;
+  const bool has_time = stamp < (1ULL << 62);
+  const auto now = has_time ? static_cast<core::Micros>(stamp) : summary_.last;
+  if (now < summary_.last) ThrowAtLine(number, "the time goes backwards");
+  if (summary_.first < 0) summary_.first = now;
+  summary_.last = now;
   const std::string task = std::string(cells[kJob]) + "/" + std::string(cells[kIndex]);
   if (event == kSubmit) {
-    const std::uint64_t job_class = Whole(cells[kClass], "the scheduling class", number);
-    if (job_class > 3) Fault(number, "the scheduling class is not one of 0 to 3");
-    ++sum_.arrived;
-    ++sum_.by_class[job_class];
-    open_[task] = {now, false, false};
+    const std::uint64_t job_class = ParseNumber(cells[kClass], "the scheduling class", number);
+    if (job_class > 3) ThrowAtLine(number, "the scheduling class is not one of 0 to 3");
+    ++summary_.arrived;
+    ++summary_.by_class[job_class];
+    open_tasks_[task] = {now, false, false};
   } else if (event == kSchedule) {
     if (!cells[kMachine].empty()) targets_[std::string(cells[kMachine])] = true;
-    ++sum_.hops;
-    const auto [it, unseen] = open_.try_emplace(task);
-    if (!unseen && !it->second.hopped) {  // of one submitted before the trace began nobody knows the wait
+    ++summary_.hops;
+    const auto [it, inserted] = open_tasks_.try_emplace(task);
+    if (!inserted && !it->second.hopped) {  // of one submitted before the trace began nobody knows the wait
       const double wait = static_cast<double>(now - it->second.arrived) / 1e6;
-      waits_ += wait;
-      ++waited_;
-      sum_.longest_wait_s = std::max(sum_.longest_wait_s, wait);
+      total_wait_s_ += wait;
+      ++waits_counted_;
+      summary_.longest_wait_s = std::max(summary_.longest_wait_s, wait);
     }
     it->second.running = it->second.hopped = true;
   } else if (const auto outcome = OutcomeOf(event)) {
-    ++sum_.outcomes[static_cast<std::size_t>(*outcome)];
-    open_.erase(task);
+    ++summary_.outcomes[static_cast<std::size_t>(*outcome)];
+    open_tasks_.erase(task);
   } else {
-    ++sum_.updates;
+    ++summary_.updates;
   }
 }
 
 Summary Reader::Finish() {
-  for (const auto& [task, state] : open_) ++(state.running ? sum_.running : sum_.waiting);
-  sum_.targets = targets_.size();
-  sum_.mean_wait_s = waited_ == 0 ? 0 : waits_ / static_cast<double>(waited_);
-  return sum_;
+  for (const auto& [task, state] : open_tasks_) ++(state.running ? summary_.running : summary_.waiting);
+  summary_.targets = targets_.size();
+  summary_.mean_wait_s = waits_counted_ == 0 ? 0 : total_wait_s_ / static_cast<double>(waits_counted_);
+  return summary_;
 }
 
 Summary Read(std::istream& in) {
   Reader reader;
   std::uint64_t number = 0;
-  for (std::string line; std::getline(in, line);) reader.Take(line, ++number);
+  for (std::string line; std::getline(in, line);) reader.AddLine(line, ++number);
   if (in.bad()) throw TraceError("trace: cannot be read after line " + std::to_string(number));
   return reader.Finish();
 }
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -34,7 +34,7 @@
 // One line of the trace; `number` is for the message. Throws TraceError.
 class Reader {
  public:
-  void Take(const std::string& line, std::uint64_t number);
+  void AddLine(const std::string& line, std::uint64_t number);
   Summary Finish();
 
  private:
@@ -42,10 +42,10 @@
     core::Micros arrived = 0;
     bool running = false, hopped = false;
   };
-  Summary sum_;
-  double waits_ = 0;
-  std::uint64_t waited_ = 0;
-  std::unordered_map<std::string, Task> open_;  // tasks that wait or run, by job and index
+  Summary summary_;
+  double total_wait_s_ = 0;
+  std::uint64_t waits_counted_ = 0;
+  std::unordered_map<std::string, Task> open_tasks_;  // tasks that wait or run, by job and index
   std::unordered_map<std::string, bool> targets_;
 };
 
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -77,7 +77,7 @@
     disk.Hand(g.group, g);
     disk.Hand("s2/http/1", GroupOnDisk{"s2/http/1", 78, {}, {}});
     log::Persist p{
-        1, log::Vote{3, 9}, nullptr, 1, {EntryOf(1, "one"), EntryOf(1, "two"), EntryOf(2, "three")}};
+        1, log::HardState{3, 9}, nullptr, 1, {EntryOf(1, "one"), EntryOf(1, "two"), EntryOf(2, "three")}};
     disk.Hand(g.group, p);
     p = {2, std::nullopt, nullptr, 3, {EntryOf(3, "other")}};
     disk.Hand(g.group, p);
@@ -92,7 +92,7 @@
   const auto all = disk.Read();
   ASSERT_EQ(all.size(), 1u);
   EXPECT_EQ(all[0].self, 77u);
-  EXPECT_EQ(all[0].log.vote, (log::Vote{3, 9}));
+  EXPECT_EQ(all[0].log.hard_state, (log::HardState{3, 9}));
   EXPECT_EQ(all[0].log.snapshot->data, "state");
   ASSERT_EQ(all[0].log.entries.size(), 2u);
   EXPECT_EQ(all[0].log.entries[0]->data, "two");
--- a/tests/cluster/log_codec_test.cpp
+++ b/tests/cluster/log_codec_test.cpp
@@ -14,27 +14,27 @@
   m.term = 5;
   m.index = 41;
   m.log_term = 4;
-  m.commit = 40;
-  m.hint = 39;
-  m.round = 1ULL << 40;
-  m.yes = m.handed = true;
+  m.leader_commit = 40;
+  m.match_hint = 39;
+  m.read_round = 1ULL << 40;
+  m.accepted = m.leadership_transfer = true;
   auto data = std::make_shared<Entry>();
   data->term = 4;
   data->data = std::string("a\0b", 3);
-  auto members = std::make_shared<Entry>();
-  members->term = 5;
-  members->kind = EntryKind::kMembers;
-  members->members = {{1, 2, 3}, {9}};
-  m.entries = {data, members};
-  m.members = {{1, 2}, {}};
+  auto configuration = std::make_shared<Entry>();
+  configuration->term = 5;
+  configuration->kind = EntryKind::kConfiguration;
+  configuration->configuration = {{1, 2, 3}, {9}};
+  m.entries = {data, configuration};
+  m.configuration = {{1, 2}, {}};
   m.offset = 64;
-  m.size = 100;
-  m.bytes = std::string(36, 'x');
+  m.total_size = 100;
+  m.chunk = std::string(36, 'x');
   return m;
 }
 
 TEST(LogCodec, EveryKindComesBackWhole) {
-  for (int kind = 0; kind < kMessageKinds; ++kind) {
+  for (int kind = 0; kind < kMessageKindCount; ++kind) {
     const Message m = Whole(static_cast<MessageKind>(kind));
     const auto back = DecodeMessage(Encode(m));
     ASSERT_TRUE(back.has_value());
@@ -44,12 +44,12 @@
   const auto back = DecodeSnapshot(Encode(s));
   ASSERT_TRUE(back.has_value());
   EXPECT_EQ(back->index, 9u);
-  EXPECT_EQ(back->members, s.members);
+  EXPECT_EQ(back->configuration, s.configuration);
   EXPECT_EQ(back->data, s.data);
 }
 
 TEST(LogCodec, CutAndChangedBytesAreNothing) {
-  const std::string bytes = Encode(Whole(MessageKind::kAppend));
+  const std::string bytes = Encode(Whole(MessageKind::kAppendEntries));
   for (std::size_t n = 0; n < bytes.size(); ++n)
     EXPECT_FALSE(DecodeMessage(bytes.substr(0, n)).has_value()) << n;
   std::string newer = bytes;
@@ -59,20 +59,20 @@
 }
 
 TEST(LogCodec, ValuesOutOfTheirBoundsAreNothing) {
-  const auto refused = [](auto change) {
-    Message m = Whole(MessageKind::kSnapshot);
+  const auto rejected = [](auto change) {
+    Message m = Whole(MessageKind::kInstallSnapshot);
     change(m);
     return !DecodeMessage(Encode(m)).has_value();
   };
-  EXPECT_FALSE(refused([](Message&) {}));
-  EXPECT_TRUE(refused([](Message& m) { m.from = 0; }));
-  EXPECT_TRUE(refused([](Message& m) { m.term = kMostTerm + 1; }));
-  EXPECT_TRUE(refused([](Message& m) { m.hint = kMostIndex + 1; }));
-  EXPECT_TRUE(refused([](Message& m) { m.offset = 101; }));
-  EXPECT_TRUE(refused([](Message& m) { m.offset = 65; })) << "a piece beyond the end";
-  EXPECT_TRUE(refused([](Message& m) { m.members.voters = {2, 1}; })) << "not in order";
-  EXPECT_TRUE(refused([](Message& m) { m.members.voters = {1, 1}; })) << "one that would count twice";
-  EXPECT_TRUE(refused([](Message& m) { std::swap(m.entries[0], m.entries[1]); })) << "terms that fall back";
+  EXPECT_FALSE(rejected([](Message&) {}));
+  EXPECT_TRUE(rejected([](Message& m) { m.from = 0; }));
+  EXPECT_TRUE(rejected([](Message& m) { m.term = kMaxTerm + 1; }));
+  EXPECT_TRUE(rejected([](Message& m) { m.match_hint = kMaxIndex + 1; }));
+  EXPECT_TRUE(rejected([](Message& m) { m.offset = 101; }));
+  EXPECT_TRUE(rejected([](Message& m) { m.offset = 65; })) << "a piece beyond the end";
+  EXPECT_TRUE(rejected([](Message& m) { m.configuration.voters = {2, 1}; })) << "not in order";
+  EXPECT_TRUE(rejected([](Message& m) { m.configuration.voters = {1, 1}; })) << "one that would count twice";
+  EXPECT_TRUE(rejected([](Message& m) { std::swap(m.entries[0], m.entries[1]); })) << "terms that fall back";
 }
 
 }  // namespace
--- a/tests/cluster/log_test.cpp
+++ b/tests/cluster/log_test.cpp
@@ -4,49 +4,49 @@
 
 #include <gtest/gtest.h>
 
-#include "bench/cluster/log_play.h"
+#include "bench/cluster/log_schedules.h"
 
 namespace heronway::cluster::log {
 namespace {
 
 constexpr Micros kMs = 1'000;
 
-Settings Usual() {
+Settings SmallLimits() {
   Settings s;
-  s.most_message = 64;
-  s.most_under_way = 256;
-  s.trailing = 2;
+  s.max_message_bytes = 64;
+  s.max_inflight_bytes = 256;
+  s.trailing_entries = 2;
   return s;
 }
 
 // A group in which things arrive at once, unless `cut` says otherwise.
-struct Fleet {
-  Group g;
-  std::set<std::pair<ServerId, ServerId>> cut;  // from, to
-  bool syncs = true;
-  explicit Fleet(int servers, int voters, const Settings& settings = Usual())
-      : g(settings, servers, voters, 3) {}
+struct TestCluster {
+  SimulatedCluster sim;
+  std::set<std::pair<ServerId, ServerId>> blocked_links;  // from, to
+  bool disks_sync = true;
+  explicit TestCluster(int servers, int voters, const Settings& settings = SmallLimits())
+      : sim(settings, servers, voters, 3) {}
   void Run(int steps) {  // of 50 ms
     for (int n = 0; n < steps; ++n) {
-      g.Elapse(50 * kMs);
-      for (int i = 0; i < Size(); ++i) g.Tick(i);
-      Flow();
+      sim.AdvanceTime(50 * kMs);
+      for (int i = 0; i < Size(); ++i) sim.Tick(i);
+      DeliverAll();
     }
   }
-  void Flow() {
+  void DeliverAll() {
     for (int turn = 0; turn < 100'000; ++turn) {
       bool synced = false;
-      for (int i = 0; i < Size() && syncs; ++i) {
-        for (; At(i).up && !At(i).writing.empty(); synced = true) g.Sync(i);
+      for (int i = 0; i < Size() && disks_sync; ++i) {
+        for (; At(i).up && !At(i).pending_writes.empty(); synced = true) sim.Sync(i);
       }
-      if (g.pool().empty() && !synced) return;
-      if (g.pool().empty()) continue;
-      const Message& m = g.pool().front();
-      cut.contains({m.from, m.to}) ? g.Lose(0) : g.Deliver(0, false);
+      if (sim.messages_in_flight().empty() && !synced) return;
+      if (sim.messages_in_flight().empty()) continue;
+      const Message& m = sim.messages_in_flight().front();
+      blocked_links.contains({m.from, m.to}) ? sim.Drop(0) : sim.Deliver(0, false);
     }
   }
-  int Size() const { return static_cast<int>(g.servers().size()); }
-  const Group::Server& At(int i) const { return g.servers()[static_cast<std::size_t>(i)]; }
+  int Size() const { return static_cast<int>(sim.servers().size()); }
+  const SimulatedCluster::Server& At(int i) const { return sim.servers()[static_cast<std::size_t>(i)]; }
   int Leader() const {
     int found = -1;
     for (int i = 0; i < Size(); ++i) {
@@ -63,302 +63,308 @@
   }
   void Isolate(int server) {
     for (int i = 0; i < Size(); ++i) {
-      cut.insert({At(i).id, At(server).id});
-      cut.insert({At(server).id, At(i).id});
+      blocked_links.insert({At(i).id, At(server).id});
+      blocked_links.insert({At(server).id, At(i).id});
     }
   }
-  void Say(int server, int entries) {
-    for (int n = 0; n < entries; ++n) g.Propose(server, "entry " + std::to_string(n));
-    Flow();
+  void ProposeEntries(int server, int entries) {
+    for (int n = 0; n < entries; ++n) sim.Propose(server, "entry " + std::to_string(n));
+    DeliverAll();
   }
 };
 
 TEST(Log, EveryShortScheduleKeepsTheProperties) {
-  Budget b;
-  b.most_states = 15'000;
+  ExplorationBudget b;
+  b.max_states = 15'000;
   b.heartbeats = 0;
   b.crashes = 0;
-  const Explored two = Explore(b);
-  EXPECT_EQ(two.breach, "");
+  const ExplorationResult two = Explore(b);
+  EXPECT_EQ(two.violation, "");
   b.proposals = 1;
   b.timeouts = 1;
   b.crashes = 1;
-  const Explored crash = Explore(b);
-  EXPECT_EQ(crash.breach, "");
-  b.twice = 1;
+  const ExplorationResult crash = Explore(b);
+  EXPECT_EQ(crash.violation, "");
+  b.duplicates = 1;
   b.crashes = 0;
   b.slow_disks = true;
-  const Explored slow = Explore(b);
-  EXPECT_EQ(slow.breach, "");
+  const ExplorationResult slow = Explore(b);
+  EXPECT_EQ(slow.violation, "");
   EXPECT_GT(two.states + crash.states + slow.states, 30'000u);
 }
 
 TEST(Log, LongSchedulesByChance) {
-  std::uint64_t chosen = 0, restored = 0, led = 0;
+  std::uint64_t committed = 0, snapshots_restored = 0, led = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    Chance c;
+    RandomScheduleOptions c;
     c.seed = seed;
     c.steps = 20'000;
     c.voters = seed % 2 == 0 ? 3 : 5;
-    const Played p = Play(c);
-    EXPECT_EQ(p.breach, "") << "seed " << seed;
-    chosen += p.chosen;
-    restored += p.snapshots;
+    const RandomScheduleResult p = RunRandomSchedule(c);
+    EXPECT_EQ(p.violation, "") << "seed " << seed;
+    committed += p.committed;
+    snapshots_restored += p.snapshots;
     led += p.elections;
   }
-  EXPECT_GT(chosen, 1'000u) << "the schedules must let the group do something";
-  EXPECT_GT(restored, 10u);
+  EXPECT_GT(committed, 1'000u) << "the schedules must let the group do something";
+  EXPECT_GT(snapshots_restored, 10u);
   EXPECT_GT(led, 30u);
 }
 
 TEST(Log, EqualSeedsGoAlike) {
-  Chance c;
+  RandomScheduleOptions c;
   c.steps = 5'000;
-  const Played a = Play(c), b = Play(c);
-  EXPECT_EQ(a.chosen, b.chosen);
+  const RandomScheduleResult a = RunRandomSchedule(c), b = RunRandomSchedule(c);
+  EXPECT_EQ(a.committed, b.committed);
   EXPECT_EQ(a.elections, b.elections);
 }
 
 TEST(Log, ACutOffLeaderCommitsNothingAndStandsDown) {
-  Fleet f(3, 3);
-  const int old = f.Elect();
+  TestCluster cluster(3, 3);
+  const int old = cluster.Elect();
   ASSERT_GE(old, 0);
-  f.Isolate(old);
-  const std::size_t before = f.g.chosen();
-  f.Say(old, 3);
-  EXPECT_EQ(f.g.chosen(), before);
-  f.Run(60);
-  EXPECT_NE(f.At(old).log.role(), Role::kLeader) << "nobody answers it";
-  const int next = f.Leader();
+  cluster.Isolate(old);
+  const std::size_t before = cluster.sim.committed_count();
+  cluster.ProposeEntries(old, 3);
+  EXPECT_EQ(cluster.sim.committed_count(), before);
+  cluster.Run(60);
+  EXPECT_NE(cluster.At(old).log.role(), Role::kLeader) << "nobody answers it";
+  const int next = cluster.Leader();
   ASSERT_GE(next, 0);
   ASSERT_NE(next, old);
-  f.Say(next, 1);
-  f.cut.clear();
-  f.Run(20);
-  EXPECT_EQ(f.At(old).log.leader(), f.At(next).id);
-  EXPECT_EQ(f.At(old).machine.chain, f.At(next).machine.chain) << "what it held back is gone";
-  EXPECT_EQ(f.g.breach(), "");
+  cluster.ProposeEntries(next, 1);
+  cluster.blocked_links.clear();
+  cluster.Run(20);
+  EXPECT_EQ(cluster.At(old).log.leader(), cluster.At(next).id);
+  EXPECT_EQ(cluster.At(old).machine.history_hash, cluster.At(next).machine.history_hash)
+      << "what it held back is gone";
+  EXPECT_EQ(cluster.sim.violation(), "");
 }
 
 // It is cut off for long and comes back: its term must not unseat a leader that all others hear.
 TEST(Log, OneThatWasCutOffUnseatsNobody) {
-  Fleet f(3, 3);
-  const int leader = f.Elect();
-  const Term term = f.At(leader).log.term();
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect();
+  const Term term = cluster.At(leader).log.term();
   const int away = (leader + 1) % 3;
-  f.Isolate(away);
-  f.Run(200);
-  f.cut.clear();
-  f.Run(20);
-  EXPECT_EQ(f.Leader(), leader);
-  EXPECT_EQ(f.At(leader).log.term(), term);
+  cluster.Isolate(away);
+  cluster.Run(200);
+  cluster.blocked_links.clear();
+  cluster.Run(20);
+  EXPECT_EQ(cluster.Leader(), leader);
+  EXPECT_EQ(cluster.At(leader).log.term(), term);
 }
 
 // A leader that can send but not receive, and one that can receive but not send, do not last.
 TEST(Log, OneWayCutsMakeAnother) {
   for (const bool sends : {true, false}) {
-    Fleet f(3, 3);
-    const int leader = f.Elect();
-    const ServerId id = f.At(leader).id;
-    for (int i = 0; i < 3; ++i) f.cut.insert(sends ? std::pair{f.At(i).id, id} : std::pair{id, f.At(i).id});
-    f.Run(100);
-    const std::size_t before = f.g.chosen();
-    const int next = f.Leader();
+    TestCluster cluster(3, 3);
+    const int leader = cluster.Elect();
+    const ServerId id = cluster.At(leader).id;
+    for (int i = 0; i < 3; ++i)
+      cluster.blocked_links.insert(sends ? std::pair{cluster.At(i).id, id} : std::pair{id, cluster.At(i).id});
+    cluster.Run(100);
+    const std::size_t before = cluster.sim.committed_count();
+    const int next = cluster.Leader();
     ASSERT_GE(next, 0);
     ASSERT_NE(next, leader);
-    f.Say(next, 1);
-    EXPECT_GT(f.g.chosen(), before);
-    EXPECT_EQ(f.g.breach(), "");
+    cluster.ProposeEntries(next, 1);
+    EXPECT_GT(cluster.sim.committed_count(), before);
+    EXPECT_EQ(cluster.sim.violation(), "");
   }
 }
 
 TEST(Log, NothingIsCommittedBeforeItIsOnAMajorityOfDisks) {
-  Fleet f(3, 3);
-  const int leader = f.Elect();
-  const std::size_t before = f.g.chosen();
-  f.syncs = false;
-  f.Say(leader, 1);
-  EXPECT_EQ(f.g.chosen(), before) << "all have it, nobody on disk";
-  f.g.Sync((leader + 1) % 3);
-  f.Flow();
-  EXPECT_EQ(f.g.chosen(), before) << "one disk of three";
-  f.g.Sync((leader + 2) % 3);
-  f.Flow();
-  EXPECT_GT(f.g.chosen(), before) << "two: the leader's own disk may be the slow one";
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect();
+  const std::size_t before = cluster.sim.committed_count();
+  cluster.disks_sync = false;
+  cluster.ProposeEntries(leader, 1);
+  EXPECT_EQ(cluster.sim.committed_count(), before) << "all have it, nobody on disk";
+  cluster.sim.Sync((leader + 1) % 3);
+  cluster.DeliverAll();
+  EXPECT_EQ(cluster.sim.committed_count(), before) << "one disk of three";
+  cluster.sim.Sync((leader + 2) % 3);
+  cluster.DeliverAll();
+  EXPECT_GT(cluster.sim.committed_count(), before) << "two: the leader's own disk may be the slow one";
 }
 
 TEST(Log, AVoteThatIsNotOnDiskIsNotTold) {
-  Fleet f(3, 3);
-  const int leader = f.Elect();
-  f.Isolate(leader);
-  f.syncs = false;
-  f.Run(100);
-  EXPECT_LE(f.g.led(), 1u) << "no vote is on any disk";
-  f.syncs = true;
-  f.Run(60);
-  EXPECT_GT(f.g.led(), 1u);
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect();
+  cluster.Isolate(leader);
+  cluster.disks_sync = false;
+  cluster.Run(100);
+  EXPECT_LE(cluster.sim.terms_with_leader(), 1u) << "no hard_state is on any disk";
+  cluster.disks_sync = true;
+  cluster.Run(60);
+  EXPECT_GT(cluster.sim.terms_with_leader(), 1u);
 }
 
 TEST(Log, AllKilledAndRestartedTogether) {
-  Fleet f(3, 3);
-  f.Say(f.Elect(), 20);
-  const std::size_t before = f.g.chosen();
-  for (int i = 0; i < 3; ++i) f.g.Crash(i);
-  for (int i = 0; i < 3; ++i) f.g.Start(i);
-  const int leader = f.Elect();
+  TestCluster cluster(3, 3);
+  cluster.ProposeEntries(cluster.Elect(), 20);
+  const std::size_t before = cluster.sim.committed_count();
+  for (int i = 0; i < 3; ++i) cluster.sim.Crash(i);
+  for (int i = 0; i < 3; ++i) cluster.sim.Start(i);
+  const int leader = cluster.Elect();
   ASSERT_GE(leader, 0);
-  f.Say(leader, 1);
-  EXPECT_GT(f.g.chosen(), before);
-  f.Run(4);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(f.At(i).machine.at, f.g.chosen());
+  cluster.ProposeEntries(leader, 1);
+  EXPECT_GT(cluster.sim.committed_count(), before);
+  cluster.Run(4);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(cluster.At(i).machine.applied_index, cluster.sim.committed_count());
 }
 
 // Far behind, with compaction going on: it is sent a snapshot, in pieces, of which each may be lost once.
 TEST(Log, ASnapshotCutAtEveryPiece) {
   for (int lost = 0; lost < 6; ++lost) {
-    Fleet f(3, 3);
-    const int leader = f.Elect(), away = (leader + 1) % 3;
-    f.g.Crash(away);
-    f.Say(leader, 30);
-    f.g.CompactTo(leader);
-    f.Say(leader, 10);
-    f.g.Start(away);
+    TestCluster cluster(3, 3);
+    const int leader = cluster.Elect(), away = (leader + 1) % 3;
+    cluster.sim.Crash(away);
+    cluster.ProposeEntries(leader, 30);
+    cluster.sim.CompactApplied(leader);
+    cluster.ProposeEntries(leader, 10);
+    cluster.sim.Start(away);
     int pieces = 0;
     for (int n = 0; n < 60; ++n) {
-      f.g.Elapse(50 * kMs);
-      for (int i = 0; i < 3; ++i) f.g.Tick(i);
-      for (int turn = 0; turn < 1'000 && !f.g.pool().empty(); ++turn) {
+      cluster.sim.AdvanceTime(50 * kMs);
+      for (int i = 0; i < 3; ++i) cluster.sim.Tick(i);
+      for (int turn = 0; turn < 1'000 && !cluster.sim.messages_in_flight().empty(); ++turn) {
         for (int i = 0; i < 3; ++i) {
-          while (!f.At(i).writing.empty()) f.g.Sync(i);
+          while (!cluster.At(i).pending_writes.empty()) cluster.sim.Sync(i);
         }
-        const bool piece = f.g.pool().front().kind == MessageKind::kSnapshot;
-        piece&& pieces++ == lost ? f.g.Lose(0) : f.g.Deliver(0, false);
+        const bool piece = cluster.sim.messages_in_flight().front().kind == MessageKind::kInstallSnapshot;
+        piece&& pieces++ == lost ? cluster.sim.Drop(0) : cluster.sim.Deliver(0, false);
       }
     }
     EXPECT_GE(pieces, 3) << "a snapshot of more than two pieces";
-    EXPECT_EQ(f.At(away).machine.chain, f.At(leader).machine.chain) << "piece " << lost;
-    EXPECT_EQ(f.g.breach(), "");
+    EXPECT_EQ(cluster.At(away).machine.history_hash, cluster.At(leader).machine.history_hash)
+        << "piece " << lost;
+    EXPECT_EQ(cluster.sim.violation(), "");
   }
 }
 
 TEST(Log, ALeaderHandsOverWithoutAGap) {
-  Fleet f(3, 3);
-  const int leader = f.Elect(), to = (leader + 2) % 3;
-  f.Say(leader, 5);
-  f.g.Post(leader, Transfer{f.At(to).id});
-  f.Flow();
-  EXPECT_EQ(f.Leader(), to) << "no election's time has passed";
-  const std::size_t before = f.g.chosen();
-  f.Say(to, 1);
-  EXPECT_GT(f.g.chosen(), before);
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect(), to = (leader + 2) % 3;
+  cluster.ProposeEntries(leader, 5);
+  cluster.sim.HandleEvent(leader, TransferLeadership{cluster.At(to).id});
+  cluster.DeliverAll();
+  EXPECT_EQ(cluster.Leader(), to) << "no election's time has passed";
+  const std::size_t before = cluster.sim.committed_count();
+  cluster.ProposeEntries(to, 1);
+  EXPECT_GT(cluster.sim.committed_count(), before);
 }
 
 // To one that has gone: nothing is taken meanwhile, and then it goes on as before.
 TEST(Log, AHandOverThatFailsEndsInTime) {
-  Fleet f(3, 3);
-  const int leader = f.Elect(), to = (leader + 1) % 3;
-  f.g.Crash(to);
-  f.Say(leader, 1);
-  f.g.Post(leader, Transfer{f.At(to).id});
-  const std::uint64_t held = f.g.Propose(leader, "x");
-  EXPECT_TRUE(f.g.refused.contains(held));
-  f.Run(30);
-  const std::size_t before = f.g.chosen();
-  f.Say(leader, 1);
-  EXPECT_GT(f.g.chosen(), before);
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect(), to = (leader + 1) % 3;
+  cluster.sim.Crash(to);
+  cluster.ProposeEntries(leader, 1);
+  cluster.sim.HandleEvent(leader, TransferLeadership{cluster.At(to).id});
+  const std::uint64_t held = cluster.sim.Propose(leader, "x");
+  EXPECT_TRUE(cluster.sim.rejected.contains(held));
+  cluster.Run(30);
+  const std::size_t before = cluster.sim.committed_count();
+  cluster.ProposeEntries(leader, 1);
+  EXPECT_GT(cluster.sim.committed_count(), before);
 }
 
 TEST(Log, AServerIsAddedAsALearnerAndThenVotes) {
-  Fleet f(4, 3);
-  const int leader = f.Elect();
-  f.Say(leader, 10);
-  f.g.Post(leader, ChangeMembers{90, Change::kPromote, 4});
-  EXPECT_TRUE(f.g.refused.contains(90)) << "it is no learner yet";
-  f.g.Post(leader, ChangeMembers{91, Change::kAddLearner, 4});
-  f.Flow();
-  f.Run(4);
-  EXPECT_EQ(f.At(3).machine.at, f.g.chosen());
-  f.g.Post(leader, ChangeMembers{92, Change::kPromote, 4});
-  f.Flow();
-  f.g.Post(leader, ChangeMembers{93, Change::kRemove, f.At(leader).id});
-  f.Flow();
-  f.Run(100);
-  const int next = f.Leader();
+  TestCluster cluster(4, 3);
+  const int leader = cluster.Elect();
+  cluster.ProposeEntries(leader, 10);
+  cluster.sim.HandleEvent(leader, ChangeConfiguration{90, ConfigurationChange::kPromote, 4});
+  EXPECT_TRUE(cluster.sim.rejected.contains(90)) << "it is no learner yet";
+  cluster.sim.HandleEvent(leader, ChangeConfiguration{91, ConfigurationChange::kAddLearner, 4});
+  cluster.DeliverAll();
+  cluster.Run(4);
+  EXPECT_EQ(cluster.At(3).machine.applied_index, cluster.sim.committed_count());
+  cluster.sim.HandleEvent(leader, ChangeConfiguration{92, ConfigurationChange::kPromote, 4});
+  cluster.DeliverAll();
+  cluster.sim.HandleEvent(leader,
+                          ChangeConfiguration{93, ConfigurationChange::kRemove, cluster.At(leader).id});
+  cluster.DeliverAll();
+  cluster.Run(100);
+  const int next = cluster.Leader();
   ASSERT_GE(next, 0);
   EXPECT_NE(next, leader) << "it took itself out";
-  EXPECT_EQ(f.At(next).log.members().voters.size(), 3u);
-  f.Say(next, 1);
-  EXPECT_EQ(f.g.breach(), "");
-  EXPECT_EQ(f.At(3).machine.at, f.g.chosen());
+  EXPECT_EQ(cluster.At(next).log.configuration().voters.size(), 3u);
+  cluster.ProposeEntries(next, 1);
+  EXPECT_EQ(cluster.sim.violation(), "");
+  EXPECT_EQ(cluster.At(3).machine.applied_index, cluster.sim.committed_count());
 }
 
-// The fault of 2014: a leader that has committed nothing of its own term yet may not change the members.
+// The fault of 2014: a leader that has committed nothing of its own term yet may not change the configuration.
 TEST(Log, NoChangeBeforeAnEntryOfItsOwnTerm) {
-  Fleet f(4, 3);
-  f.syncs = false;
+  TestCluster cluster(4, 3);
+  cluster.disks_sync = false;
   int leader = -1;
   for (int n = 0; n < 200 && leader < 0; ++n) {
-    f.Run(1);
+    cluster.Run(1);
     for (int i = 0; i < 4; ++i) {
       // Votes alone are synced: the first entry is not.
-      if (!f.At(i).writing.empty() && f.At(i).writing.front().vote) f.g.Sync(i);
+      if (!cluster.At(i).pending_writes.empty() && cluster.At(i).pending_writes.front().hard_state)
+        cluster.sim.Sync(i);
     }
-    f.Flow();
-    leader = f.Leader();
+    cluster.DeliverAll();
+    leader = cluster.Leader();
   }
   ASSERT_GE(leader, 0);
-  f.g.Post(leader, ChangeMembers{7, Change::kAddLearner, 4});
-  EXPECT_TRUE(f.g.refused.contains(7));
-  f.syncs = true;
-  f.Run(4);
-  f.g.Post(leader, ChangeMembers{8, Change::kAddLearner, 4});
-  EXPECT_TRUE(f.g.proposed.contains(8));
-  f.g.Post(leader, ChangeMembers{9, Change::kRemove, f.At((leader + 1) % 3).id});
-  EXPECT_TRUE(f.g.refused.contains(9)) << "one at a time";
+  cluster.sim.HandleEvent(leader, ChangeConfiguration{7, ConfigurationChange::kAddLearner, 4});
+  EXPECT_TRUE(cluster.sim.rejected.contains(7));
+  cluster.disks_sync = true;
+  cluster.Run(4);
+  cluster.sim.HandleEvent(leader, ChangeConfiguration{8, ConfigurationChange::kAddLearner, 4});
+  EXPECT_TRUE(cluster.sim.proposed.contains(8));
+  cluster.sim.HandleEvent(
+      leader, ChangeConfiguration{9, ConfigurationChange::kRemove, cluster.At((leader + 1) % 3).id});
+  EXPECT_TRUE(cluster.sim.rejected.contains(9)) << "one at a time";
 }
 
 TEST(Log, ReadsNeedAMajorityThatStillFollows) {
-  Fleet f(3, 3);
-  const int leader = f.Elect();
-  f.g.Post(leader, Read{1});
-  EXPECT_FALSE(f.g.read_at.contains(1));
-  f.Flow();
-  EXPECT_TRUE(f.g.read_at.contains(1));
-  f.Isolate(leader);
-  f.g.Post(leader, Read{2});
-  f.Run(60);
-  EXPECT_FALSE(f.g.read_at.contains(2));
-  EXPECT_TRUE(f.g.refused.contains(2)) << "it is told to ask elsewhere";
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect();
+  cluster.sim.HandleEvent(leader, ReadIndex{1});
+  EXPECT_FALSE(cluster.sim.reads_ready.contains(1));
+  cluster.DeliverAll();
+  EXPECT_TRUE(cluster.sim.reads_ready.contains(1));
+  cluster.Isolate(leader);
+  cluster.sim.HandleEvent(leader, ReadIndex{2});
+  cluster.Run(60);
+  EXPECT_FALSE(cluster.sim.reads_ready.contains(2));
+  EXPECT_TRUE(cluster.sim.rejected.contains(2)) << "it is told to ask elsewhere";
 }
 
 // A follower that answers nothing holds up nobody, and no more than the bound is on its way to it.
 TEST(Log, BytesUnderWayAreBounded) {
-  Fleet f(3, 3);
-  const int leader = f.Elect(), deaf = (leader + 1) % 3;
-  f.cut.insert({f.At(deaf).id, f.At(leader).id});
-  const std::uint64_t before = f.g.bytes;
-  f.Say(leader, 200);
-  EXPECT_LT(f.g.bytes - before, 2u * 200 * 12) << "not twice all of it";
-  EXPECT_GE(f.g.chosen(), 200u);
-  Settings small = Usual();
-  small.most_waiting = 100;
-  Fleet full(3, 3, small);
+  TestCluster cluster(3, 3);
+  const int leader = cluster.Elect(), deaf = (leader + 1) % 3;
+  cluster.blocked_links.insert({cluster.At(deaf).id, cluster.At(leader).id});
+  const std::uint64_t before = cluster.sim.bytes;
+  cluster.ProposeEntries(leader, 200);
+  EXPECT_LT(cluster.sim.bytes - before, 2u * 200 * 12) << "not twice all of it";
+  EXPECT_GE(cluster.sim.committed_count(), 200u);
+  Settings small = SmallLimits();
+  small.max_uncommitted_bytes = 100;
+  TestCluster full(3, 3, small);
   const int alone = full.Elect();
   full.Isolate(alone);
-  for (int n = 0; n < 100; ++n) full.g.Propose(alone, "0123456789");
-  EXPECT_GT(full.g.refused.size(), 85u) << "what cannot be committed is not piled up";
+  for (int n = 0; n < 100; ++n) full.sim.Propose(alone, "0123456789");
+  EXPECT_GT(full.sim.rejected.size(), 85u) << "what cannot be committed is not piled up";
 }
 
 TEST(Log, AGroupOfOneCommitsWhenItsDiskHasIt) {
-  Fleet f(1, 1);
-  const int leader = f.Elect();
+  TestCluster cluster(1, 1);
+  const int leader = cluster.Elect();
   ASSERT_EQ(leader, 0);
-  f.syncs = false;
-  const std::size_t before = f.g.chosen();
-  f.Say(0, 1);
-  EXPECT_EQ(f.g.chosen(), before);
-  f.g.Sync(0);
-  EXPECT_EQ(f.g.chosen(), before + 1);
+  cluster.disks_sync = false;
+  const std::size_t before = cluster.sim.committed_count();
+  cluster.ProposeEntries(0, 1);
+  EXPECT_EQ(cluster.sim.committed_count(), before);
+  cluster.sim.Sync(0);
+  EXPECT_EQ(cluster.sim.committed_count(), before + 1);
 }
 
 }  // namespace
--- a/tests/fuzz/log_fuzz.cpp
+++ b/tests/fuzz/log_fuzz.cpp
@@ -22,8 +22,8 @@
 // A leader of two, of which the other has answered, or a follower that has heard of a leader.
 Log Make(bool leads) {
   auto beginning = std::make_shared<Snapshot>();
-  beginning->members.voters = {1, 2};
-  Log log({}, 1, OnDisk{{}, beginning, {}}, 1, 0);
+  beginning->configuration.voters = {1, 2};
+  Log log({}, 1, PersistentState{{}, beginning, {}}, 1, 0);
   std::vector<Effect> effects;
   Micros now = 3'000'000;
   Message m;
@@ -33,19 +33,19 @@
     log.Handle(now, Tick{}, effects);
     m.kind = MessageKind::kPreVoteReply;
     m.term = 1;
-    m.yes = true;
+    m.accepted = true;
     log.Handle(now, Received{m}, effects);
     Sync(log, now, effects);
-    m.kind = MessageKind::kVoteReply;
+    m.kind = MessageKind::kRequestVoteReply;
     log.Handle(now, Received{m}, effects);
     log.Handle(now, Propose{1, "one"}, effects);
     Sync(log, now, effects);
-    m.kind = MessageKind::kAppendReply;
+    m.kind = MessageKind::kAppendEntriesReply;
     m.index = 1;
   } else {
-    m.kind = MessageKind::kAppend;
+    m.kind = MessageKind::kAppendEntries;
     m.term = 1;
-    m.commit = 1;
+    m.leader_commit = 1;
     for (const char* data : {"one", "two"}) {
       auto e = std::make_shared<Entry>();
       e->term = 1;
@@ -74,7 +74,7 @@
   if (m.from == 1) m.from = 2;
   for (const bool leads : {true, false}) {
     Log log = Make(leads);
-    const Index committed = log.committed();
+    const Index committed = log.commit_index();
     if (committed != 1) std::abort();
     const std::uint64_t first = DigestOf(log.At(1));
     std::vector<Effect> effects;
@@ -85,8 +85,8 @@
       log.Handle(now, Tick{}, effects);
       Sync(log, now, effects);
     }
-    if (log.committed() < committed || log.committed() > log.last()) std::abort();
-    if (log.first() <= 1 && DigestOf(log.At(1)) != first) std::abort();
+    if (log.commit_index() < committed || log.commit_index() > log.last_index()) std::abort();
+    if (log.first_index() <= 1 && DigestOf(log.At(1)) != first) std::abort();
   }
   return 0;
 }
