--- a/bench/cluster/fleet_sim.cpp
+++ b/bench/cluster/fleet_sim.cpp
@@ -19,9 +19,9 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-struct Figures {
+struct Samples {
   std::vector<double> values;
-  double At(double share) {
+  double Quantile(double share) {
     if (values.empty()) return -1;
     std::sort(values.begin(), values.end());
     return values[std::min(values.size() - 1,
@@ -29,10 +29,10 @@
   }
 };
 
-double Cpu() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
+double CpuSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
 // A fleet that has come together and is quiet.
-void Gather(World& world) {
+void JoinAll(World& world) {
   for (int i = 0; i < world.size(); ++i) world.Start(i);
   const Micros until = world.now() + 60 * kSecond;
   while (world.now() < until) {
@@ -44,21 +44,21 @@
   world.RunUntil(world.now() + 30 * kSecond);
 }
 
-void Detect(World::Options options, int plays) {
-  Figures first, last;
-  for (int play = 0; play < plays; ++play) {
-    options.seed = static_cast<std::uint64_t>(play) + 1;
+void MeasureDetection(World::Options options, int runs) {
+  Samples first, last;
+  for (int run = 0; run < runs; ++run) {
+    options.seed = static_cast<std::uint64_t>(run) + 1;
     World world(options);
-    Gather(world);
-    world.RunUntil(world.now() + play * 7'919);  // no play dies at the same phase
+    JoinAll(world);
+    world.RunUntil(world.now() + run * 7'919);  // no play dies at the same phase
     const Micros died = world.now();
     const int victim = options.members / 2;
     int verdicts = 0;
     Micros suspected = -1, done = -1;
-    world.changed = [&](int, const Changed& c) {
+    world.on_member_changed = [&](int, const MemberChanged& c) {
       if (c.record.id.name != world.node(victim).self.id.name) return;
-      if (c.record.state == State::kSuspect && suspected < 0) suspected = world.now();
-      if (c.record.state == State::kDead && ++verdicts == options.members - 1) done = world.now();
+      if (c.record.state == MemberState::kSuspect && suspected < 0) suspected = world.now();
+      if (c.record.state == MemberState::kDead && ++verdicts == options.members - 1) done = world.now();
     };
     world.Kill(victim);
     world.RunUntil(died + 60 * kSecond, [&] { return done >= 0; });
@@ -67,14 +67,14 @@
   }
   std::printf(
       "detect members=%d plays=%d first_p50=%.2f first_p99=%.2f last_p50=%.2f last_p99=%.2f unfinished=%d\n",
-      options.members, plays, first.At(0.5), first.At(0.99), last.At(0.5), last.At(0.99),
-      plays - static_cast<int>(last.values.size()));
+      options.members, runs, first.Quantile(0.5), first.Quantile(0.99), last.Quantile(0.5),
+      last.Quantile(0.99), runs - static_cast<int>(last.values.size()));
 }
 
-void Quiet(World::Options options, int seconds) {
+void MeasureIdle(World::Options options, int seconds) {
   options.count_bytes = true;
   World world(options);
-  Gather(world);
+  JoinAll(world);
   std::uint64_t datagrams = 0, bytes = 0, exchange = 0;
   const auto sum = [&](int sign) {
     for (int i = 0; i < world.size(); ++i) {
@@ -84,9 +84,9 @@
     }
   };
   sum(-1);
-  const double before = Cpu();
+  const double before = CpuSeconds();
   world.RunUntil(world.now() + seconds * kSecond);
-  const double cpu = Cpu() - before;
+  const double cpu = CpuSeconds() - before;
   sum(1);
   const double of = static_cast<double>(options.members) * seconds;
   std::printf(
@@ -97,17 +97,17 @@
       static_cast<double>(bytes + 28 * datagrams) / of, static_cast<double>(exchange) / of, cpu / of * 1e6);
 }
 
-void False(World::Options options, int seconds, bool stalls) {
+void MeasureFalseVerdicts(World::Options options, int seconds, bool stalls) {
   for (const bool lifeguard : {true, false}) {
     options.lifeguard = lifeguard;
     World world(options);
-    Gather(world);
+    JoinAll(world);
     pcg32 random(options.seed + 99);
     std::uint64_t verdicts = 0, views = 0, suspicions = 0;
     std::map<MemberId, std::uint32_t> counted;
-    world.changed = [&](int, const Changed& c) {
-      if (c.record.state == State::kSuspect) ++suspicions;
-      if (c.record.state != State::kDead) return;
+    world.on_member_changed = [&](int, const MemberChanged& c) {
+      if (c.record.state == MemberState::kSuspect) ++suspicions;
+      if (c.record.state != MemberState::kDead) return;
       ++views;
       // One verdict, however many come to share it.
       const auto [it, fresh] = counted.try_emplace(c.record.id, c.record.incarnation);
@@ -119,25 +119,25 @@
       world.RunUntil(world.now() + kSecond / 2);
       for (int i = 0; stalls && i < world.size(); i += 10) {
         if (random(6) == 0)  // every 3 s
-          world.Stop(i, world.now() + 100'000 + static_cast<Micros>(random(140'000)));
+          world.Pause(i, world.now() + 100'000 + static_cast<Micros>(random(140'000)));
       }
     }
     std::printf(
         "false members=%d seconds=%d loss=%.2f stalls=%d lifeguard=%s verdicts=%llu views=%llu "
         "suspected_views=%llu\n",
-        options.members, seconds, options.loss, stalls, lifeguard ? "on" : "off",
+        options.members, seconds, options.loss_rate, stalls, lifeguard ? "on" : "off",
         static_cast<unsigned long long>(verdicts), static_cast<unsigned long long>(views),
         static_cast<unsigned long long>(suspicions));
     std::fflush(stdout);
   }
 }
 
-void Heal(World::Options options, int plays, int cut_s) {
-  Figures equal;
-  for (int play = 0; play < plays; ++play) {
-    options.seed = static_cast<std::uint64_t>(play) + 1;
+void MeasureHealing(World::Options options, int runs, int cut_s) {
+  Samples equal;
+  for (int run = 0; run < runs; ++run) {
+    options.seed = static_cast<std::uint64_t>(run) + 1;
     World world(options);
-    Gather(world);
+    JoinAll(world);
     const int half = options.members / 2;
     world.link = [half](int a, int b) { return (a < half) == (b < half); };
     world.RunUntil(world.now() + cut_s * kSecond);
@@ -154,8 +154,8 @@
     }
   }
   std::printf("heal members=%d plays=%d cut_s=%d equal_p50=%.2f equal_p99=%.2f unfinished=%d\n",
-              options.members, plays, cut_s, equal.At(0.5), equal.At(0.99),
-              plays - static_cast<int>(equal.values.size()));
+              options.members, runs, cut_s, equal.Quantile(0.5), equal.Quantile(0.99),
+              runs - static_cast<int>(equal.values.size()));
 }
 
 }  // namespace
@@ -164,22 +164,22 @@
   CLI::App app{"fleet_sim: the membership core in virtual time"};
   app.require_subcommand(1);
   World::Options options;
-  int plays = 20, seconds = 60, cut_s = 10;
+  int runs = 20, seconds = 60, cut_s = 10;
   bool no_stalls = false;
   for (const char* name : {"detect", "quiet", "false", "heal"}) {
     auto* command = app.add_subcommand(name);
     command->add_option("--members", options.members)->check(CLI::Range(2, 4000));
-    command->add_option("--plays", plays)->check(CLI::Range(1, 10000));
+    command->add_option("--plays", runs)->check(CLI::Range(1, 10000));
     command->add_option("--seconds", seconds)->check(CLI::Range(1, 36000));
     command->add_option("--cut-s", cut_s)->check(CLI::Range(1, 3600));
-    command->add_option("--loss", options.loss)->check(CLI::Range(0.0, 0.9));
+    command->add_option("--loss", options.loss_rate)->check(CLI::Range(0.0, 0.9));
     command->add_option("--seed", options.seed);
     command->add_flag("--no-stalls", no_stalls);
   }
   CLI11_PARSE(app, argc, argv);
-  if (app.got_subcommand("detect")) Detect(options, plays);
-  if (app.got_subcommand("quiet")) Quiet(options, seconds);
-  if (app.got_subcommand("false")) False(options, seconds, !no_stalls);
-  if (app.got_subcommand("heal")) Heal(options, plays, cut_s);
+  if (app.got_subcommand("detect")) MeasureDetection(options, runs);
+  if (app.got_subcommand("quiet")) MeasureIdle(options, seconds);
+  if (app.got_subcommand("false")) MeasureFalseVerdicts(options, seconds, !no_stalls);
+  if (app.got_subcommand("heal")) MeasureHealing(options, runs, cut_s);
   return 0;
 }
--- a/bench/fuzz.sh
+++ b/bench/fuzz.sh
@@ -7,7 +7,7 @@
 seconds=${1:-3600}
 mkdir -p found build-fuzz
 match=$(ls src/match/*.cpp src/limits/rate_limits.cpp | grep -v tool.cpp)
-cluster=$(ls src/cluster/membership/*.cpp src/cluster/news/*.cpp src/cluster/net/codec.cpp)
+cluster=$(ls src/cluster/membership/*.cpp src/cluster/target_gossip/*.cpp src/cluster/net/codec.cpp)
 log=$(ls src/cluster/log/*.cpp)
 for name in parse machine cluster log; do
   sources=$match
--- a/bench/storm/world.cpp
+++ b/bench/storm/world.cpp
@@ -7,8 +7,8 @@
 #include <random>
 #include <unordered_map>
 
-#include "src/cluster/news/load.h"
-#include "src/cluster/news/news.h"
+#include "src/cluster/target_gossip/load_report.h"
+#include "src/cluster/target_gossip/target_gossip.h"
 
 namespace heronway::storm {
 namespace {
@@ -213,7 +213,7 @@
           const Worker& w = workers_[h.b >> 3];
           const pebblenotch::Report report = ReportTo(w, h.who);
           news.report = report;
-          Saw(h.who, cluster::SawLoad(news.from, report));
+          Saw(h.who, cluster::LoadObservation(news.from, report));
           if (const auto it = requests_.find(h.a); it != requests_.end()) --it->second.out;
         }
         return Post(h.who, std::move(news));
@@ -233,7 +233,7 @@
           report.waiting = kQueue;
           report.free_slots = 0;
           ended.report = report;
-          Saw(t.scheduler, cluster::SawLoad(target, report));
+          Saw(t.scheduler, cluster::LoadObservation(target, report));
         }
         const int s = t.scheduler;
         tasks_.erase(h.a);
@@ -276,7 +276,7 @@
         core::ProbeEnded ended{h.a, w.up ? Result::kOk : Result::kConnectFailed, 2 * kLink, {}};
         if (w.up) ended.report = ReportTo(w, h.who);
         Saw(h.who, {cluster::FactKind::kFailing, h.a, 0, w.up});
-        if (ended.report) Saw(h.who, cluster::SawLoad(h.a, *ended.report));
+        if (ended.report) Saw(h.who, cluster::LoadObservation(h.a, *ended.report));
         return Post(h.who, std::move(ended));
       }
       case Kind::kTogether:
@@ -556,16 +556,16 @@
     TellList(s, core::ListKind::kCached);
   }
   // As the HTTP front tells it.
-  void Saw(int scheduler, const cluster::SawWorker& saw) {
-    cluster::News& news = news_[static_cast<std::size_t>(scheduler)];
-    if (saw.well) return news.SawWell(now_, saw.target);
-    if (saw.kind == cluster::FactKind::kLoad) return news.SawLoad(now_, saw.target, saw.waiting, saw.free);
-    news.Saw(now_, saw.kind, saw.target, saw.since);
+  void Saw(int scheduler, const cluster::TargetObservation& saw) {
+    cluster::TargetGossip& news = news_[static_cast<std::size_t>(scheduler)];
+    if (saw.healthy) return news.RecordHealthy(now_, saw.target);
+    if (saw.kind == cluster::FactKind::kLoad) return news.RecordLoad(now_, saw.target, saw.waiting, saw.free);
+    news.RecordEvent(now_, saw.kind, saw.target, saw.since);
   }
-  void Remember() { news_[0].Known(now_, stale_); }
+  void Remember() { news_[0].AppendOwnFacts(now_, stale_); }
   std::vector<cluster::Fact> Told(int peer) const {
     std::vector<cluster::Fact> facts;
-    news_[static_cast<std::size_t>(peer)].Known(now_, facts);
+    news_[static_cast<std::size_t>(peer)].AppendOwnFacts(now_, facts);
     if (peer == 0 && plan_.learns == Learns::kOneIsStale) facts = stale_;
     if (peer == 0 && plan_.learns == Learns::kOneIsWrong) {
       std::erase_if(facts, [](const auto& f) { return f.kind != cluster::FactKind::kLoad; });
@@ -591,11 +591,11 @@
   void Learn() {
     if (plan_.learns == Learns::kNothing) return;
     const int fresh = plan_.schedulers - 1;
-    std::vector<cluster::Hint> hints;
+    std::vector<cluster::TargetAdvice> hints;
     for (int peer = 0; peer < std::min(2, fresh); ++peer) {
-      for (const cluster::Fact& f : Told(peer)) news_.back().Heard(now_, f, 1, hints);
+      for (const cluster::Fact& f : Told(peer)) news_.back().HandleFact(now_, f, 1, hints);
     }
-    for (const cluster::Hint& h : hints) {
+    for (const cluster::TargetAdvice& h : hints) {
       if (h.kind == cluster::FactKind::kLoad) {
         ++out_.fresh.learnt;
         Post(fresh, core::HeardLoad{h.target, cluster::ToReport(h), h.age});
@@ -609,7 +609,7 @@
   Plan plan_;
   pebblenotch::Settings site_;
   int running_ = 0;  // schedulers
-  std::vector<cluster::News> news_;
+  std::vector<cluster::TargetGossip> news_;
   std::vector<cluster::Fact> stale_;
   pcg64 random_;
   Micros now_ = kStart;
--- a/src/cluster/copies/doors.cpp
+++ b/src/cluster/copies/doors.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::cluster::copies {
 namespace {
@@ -22,14 +22,14 @@
 std::optional<core::HopNews> DecodeWord(std::string_view bytes) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::Members in(whole.get(), 4);
+    pack::ArrayReader in(whole.get(), 4);
     core::HopNews news;
     news.id = in.Next().as<std::string>();
     news.from = in.Number<core::TargetId>(0, ~core::TargetId{0});
     news.news = in.Enum(core::News::kLost);
     news.result = in.Next().as<std::string>();
-    pack::Members::Need(!news.id.empty() && news.id.size() <= kMostId &&
-                        news.result.size() <= Doors::kMostResult);
+    pack::ArrayReader::Require(!news.id.empty() && news.id.size() <= kMostId &&
+                               news.result.size() <= Doors::kMostResult);
     return news;
   } catch (const std::exception&) {
     return std::nullopt;
--- a/src/cluster/copies/dump.cpp
+++ b/src/cluster/copies/dump.cpp
@@ -4,7 +4,7 @@
 
 #include "src/cluster/copies/own_group.h"
 #include "src/durable/codec.h"
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::cluster::copies {
 namespace {
@@ -16,7 +16,7 @@
   out.pack_bin_body(bytes.data(), static_cast<std::uint32_t>(bytes.size()));
 }
 std::string_view Bytes(const msgpack::object& o) {
-  pack::Members::Need(o.type == msgpack::type::BIN);
+  pack::ArrayReader::Require(o.type == msgpack::type::BIN);
   return {o.via.bin.ptr, o.via.bin.size};
 }
 std::string Whole(const msgpack::sbuffer& bytes) { return {bytes.data(), bytes.size()}; }
@@ -25,8 +25,8 @@
 std::optional<T> Decode(std::string_view bytes, Read read) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::Members in(whole.get(), 4);
-    pack::Members::Need(in.Number<int>(1, 1 << 20) == kForm);
+    pack::ArrayReader in(whole.get(), 4);
+    pack::ArrayReader::Require(in.Number<int>(1, 1 << 20) == kForm);
     return read(in);
   } catch (const std::exception&) {
     return std::nullopt;
@@ -45,7 +45,7 @@
 }
 
 std::optional<Batch> DecodeBatch(std::string_view bytes) {
-  return Decode<Batch>(bytes, [](pack::Members& in) {
+  return Decode<Batch>(bytes, [](pack::ArrayReader& in) {
     Batch b;
     b.life = in.Number<std::uint64_t>(0, ~std::uint64_t{0});
     b.number = in.Number<std::uint64_t>(0, ~std::uint64_t{0});
@@ -76,7 +76,7 @@
 }
 
 std::optional<Dump> DecodeDump(std::string_view bytes) {
-  return Decode<Dump>(bytes, [](pack::Members& in) {
+  return Decode<Dump>(bytes, [](pack::ArrayReader& in) {
     Dump d;
     d.classes = in.Next().as<std::vector<std::string>>();
     d.clock_broke = in.Next().as<durable::Micros>();
@@ -84,12 +84,12 @@
     d.applied.life = in.Next().as<std::uint64_t>();
     d.applied.number = in.Next().as<std::uint64_t>();
     const msgpack::object& jobs = in.Next();
-    pack::Members::Need(jobs.type == msgpack::type::ARRAY);
+    pack::ArrayReader::Require(jobs.type == msgpack::type::ARRAY);
     for (std::uint32_t i = 0; i < jobs.via.array.size; ++i) {
-      pack::Members one(jobs.via.array.ptr[i], 2);
+      pack::ArrayReader one(jobs.via.array.ptr[i], 2);
       std::string id = one.Next().as<std::string>();
       auto job = durable::DecodeJob(Bytes(one.Next()));
-      pack::Members::Need(job.has_value());
+      pack::ArrayReader::Require(job.has_value());
       d.jobs.emplace_back(std::move(id), std::move(*job));
     }
     return d;
--- a/src/cluster/copies/frames.cpp
+++ b/src/cluster/copies/frames.cpp
@@ -6,7 +6,7 @@
 
 #include "src/cluster/log/codec.h"
 #include "src/cluster/membership/member.h"
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::cluster::copies {
 namespace {
@@ -14,10 +14,10 @@
 constexpr const char* kMark = "hwl";
 
 // Guards the log, the console and the names of files: such texts are printed, and a group's is a file's too.
-std::string Text(pack::Members& in, std::size_t most) {
+std::string Text(pack::ArrayReader& in, std::size_t most) {
   std::string text = in.Next().as<std::string>();
-  for (const char c : text) pack::Members::Need(c > ' ' && c < 127 && c != '"' && c != '\\');
-  pack::Members::Need(text.size() <= most);
+  for (const char c : text) pack::ArrayReader::Require(c > ' ' && c < 127 && c != '"' && c != '\\');
+  pack::ArrayReader::Require(text.size() <= most);
   return text;
 }
 
@@ -47,26 +47,26 @@
   try {
     const msgpack::unpack_limit limit(64, 0, 256, kMostFrame, 0, 4);
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
-    pack::Members in(whole.get(), 11);
+    pack::ArrayReader in(whole.get(), 11);
     if (in.Next().as<std::string_view>() != kMark || in.Next().as<int>() != kVersion) return std::nullopt;
     Frame f;
     f.kind = in.Enum(Frame::Kind::kHeard);
-    f.fleet = Text(in, kMostFleet);
-    f.from = Text(in, kMostName);
-    f.to = Text(in, kMostName);
+    f.fleet = Text(in, kMaxFleetNameBytes);
+    f.from = Text(in, kMaxNameBytes);
+    f.to = Text(in, kMaxNameBytes);
     f.at = Text(in, 32);
     f.group = Text(in, kMostGroup);
     const msgpack::object& message = in.Next();
-    pack::Members::Need(message.type == msgpack::type::BIN);
+    pack::ArrayReader::Require(message.type == msgpack::type::BIN);
     f.message.assign(message.via.bin.ptr, message.via.bin.size);
     f.server = in.Number<log::ServerId>(0, ~log::ServerId{0});
     const msgpack::object& servers = in.Next();
-    pack::Members::Need(servers.type == msgpack::type::ARRAY &&
-                        servers.via.array.size <= 2 * log::kMostServers);
+    pack::ArrayReader::Require(servers.type == msgpack::type::ARRAY &&
+                               servers.via.array.size <= 2 * log::kMostServers);
     for (std::uint32_t i = 0; i < servers.via.array.size; ++i) {
-      pack::Members one(servers.via.array.ptr[i], 3);
+      pack::ArrayReader one(servers.via.array.ptr[i], 3);
       const auto id = one.Number<log::ServerId>(1, ~log::ServerId{0});
-      const std::string name = Text(one, kMostName);
+      const std::string name = Text(one, kMaxNameBytes);
       f.servers[id] = {name, Text(one, 32)};
     }
     return f;
--- a/src/cluster/copies/lookup.cpp
+++ b/src/cluster/copies/lookup.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "src/cluster/copies/frames.h"
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::cluster::copies {
 namespace {
@@ -21,16 +21,16 @@
   return {bytes.data(), bytes.size()};
 }
 
-std::string ShortText(pack::Members& in, std::size_t most) {
+std::string ShortText(pack::ArrayReader& in, std::size_t most) {
   std::string text = in.Next().as<std::string>();
-  pack::Members::Need(text.size() <= most);
+  pack::ArrayReader::Require(text.size() <= most);
   return text;
 }
 
-std::vector<std::string> Groups(pack::Members& in) {
+std::vector<std::string> Groups(pack::ArrayReader& in) {
   auto groups = in.Next().as<std::vector<std::string>>();
-  pack::Members::Need(groups.size() <= kMostGroups);
-  for (const std::string& group : groups) pack::Members::Need(group.size() <= kMostGroup);
+  pack::ArrayReader::Require(groups.size() <= kMostGroups);
+  for (const std::string& group : groups) pack::ArrayReader::Require(group.size() <= kMostGroup);
   return groups;
 }
 
@@ -53,7 +53,7 @@
 std::optional<JobQuestion> DecodeJobQuestion(std::string_view bytes) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::Members in(whole.get(), 3);
+    pack::ArrayReader in(whole.get(), 3);
     JobQuestion question;
     question.own_group = ShortText(in, kMostGroup);
     question.name.text = ShortText(in, kMostName);
@@ -67,7 +67,7 @@
 std::optional<JobAnswer> DecodeJobAnswer(std::string_view bytes) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::Members in(whole.get(), 4);
+    pack::ArrayReader in(whole.get(), 4);
     JobAnswer answer;
     answer.found = in.Enum(Found::kFailed);
     answer.result = ShortText(in, kMostResult);
--- a/src/cluster/copies/tool.cpp
+++ b/src/cluster/copies/tool.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "src/cluster/copies/copies.h"
-#include "src/cluster/tool.h"
+#include "src/cluster/members_tool.h"
 #include "src/durable/codec.h"
 
 namespace heronway::cluster::copies {
@@ -31,7 +31,7 @@
 
 int ListCopies(const std::string& console, bool json) {
   int status = 0;
-  const auto answer = ShowJson(console, "/v1/copies", json, status);
+  const auto answer = FetchConsoleJson(console, "/v1/copies", json, status);
   if (!answer) return status;
   const Json::Value& all = *answer;
   if (!all["fault"].asString().empty()) std::printf("fault: %s\n", all["fault"].asCString());
--- a/src/cluster/log/codec.cpp
+++ b/src/cluster/log/codec.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::cluster::log {
 namespace {
@@ -24,27 +24,27 @@
   Pack(out, e.members);
 }
 
-class Reader : public pack::Members {
+class Reader : public pack::ArrayReader {
  public:
-  Reader(const msgpack::object& o, std::uint32_t least) : pack::Members(o, least) {
-    Need(Number<int>(1, 1 << 20) == kForm);
+  Reader(const msgpack::object& o, std::uint32_t least) : pack::ArrayReader(o, least) {
+    Require(Number<int>(1, 1 << 20) == kForm);
   }
   std::uint64_t Count() { return Number<std::uint64_t>(0, ~std::uint64_t{0}); }
   bool Flag() { return Next().as<bool>(); }
   std::string Bytes() {
     const msgpack::object& o = Next();
-    Need(o.type == msgpack::type::BIN && o.via.bin.size <= kMostData);
+    Require(o.type == msgpack::type::BIN && o.via.bin.size <= kMostData);
     return {o.via.bin.ptr, o.via.bin.size};
   }
   log::Members Servers() {
-    pack::Members in(Next(), 2);
+    pack::ArrayReader in(Next(), 2);
     log::Members m;
     for (auto* ids : {&m.voters, &m.learners}) {
       const msgpack::object& o = in.Next();
-      Need(o.type == msgpack::type::ARRAY && o.via.array.size <= kMostServers);
+      Require(o.type == msgpack::type::ARRAY && o.via.array.size <= kMostServers);
       *ids = o.as<std::vector<ServerId>>();
       // Guards look-ups that rely on the order, and a server that would count twice.
-      Need(std::adjacent_find(ids->begin(), ids->end(), std::greater_equal<>()) == ids->end());
+      Require(std::adjacent_find(ids->begin(), ids->end(), std::greater_equal<>()) == ids->end());
     }
     return m;
   }
@@ -123,19 +123,19 @@
     m.yes = in.Flag();
     m.handed = in.Flag();
     const msgpack::object& entries = in.Next();
-    Reader::Need(entries.type == msgpack::type::ARRAY);
+    Reader::Require(entries.type == msgpack::type::ARRAY);
     for (std::uint32_t i = 0; i < entries.via.array.size; ++i) {
       m.entries.push_back(std::make_shared<Entry>(Reader::ToEntry(entries.via.array.ptr[i])));
       // A leader's entries never fall back in their terms.
-      Reader::Need(i == 0 || m.entries[i]->term >= m.entries[i - 1]->term);
+      Reader::Require(i == 0 || m.entries[i]->term >= m.entries[i - 1]->term);
     }
     m.members = in.Servers();
     m.offset = in.Count();
     m.size = in.Count();
     m.bytes = in.Bytes();
-    Reader::Need(m.offset <= m.size && m.bytes.size() <= m.size - m.offset);
-    Reader::Need(m.from != 0 && m.to != 0 && m.term <= kMostTerm && m.index <= kMostIndex);
-    Reader::Need(m.hint <= kMostIndex && m.commit <= kMostIndex);
+    Reader::Require(m.offset <= m.size && m.bytes.size() <= m.size - m.offset);
+    Reader::Require(m.from != 0 && m.to != 0 && m.term <= kMostTerm && m.index <= kMostIndex);
+    Reader::Require(m.hint <= kMostIndex && m.commit <= kMostIndex);
     return m;
   });
 }
--- a/src/cluster/tool.cpp
+++ b/src/cluster/members_tool.cpp
@@ -1,4 +1,4 @@
-#include "src/cluster/tool.h"
+#include "src/cluster/members_tool.h"
 
 #include <json/reader.h>
 #include <json/writer.h>
@@ -25,7 +25,7 @@
   Json::Value out;
   out["name"] = node.core().self().id.name;
   out["fleet"] = node.fleet();
-  out["standing"] = Name(node.core().standing());
+  out["standing"] = Name(node.core().quorum_state());
   return out;
 }
 
@@ -43,7 +43,7 @@
   if (connect(fd, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
       send(fd, call.data(), call.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(call.size()))
     throw std::runtime_error("the console at " + console + " cannot be reached");
-  http::Reader reader(HTTP_RESPONSE, 4 * kMostExchange);
+  http::Reader reader(HTTP_RESPONSE, 4 * kMaxExchangeBytes);
   char bytes[16 * 1024];
   for (;;) {
     const ssize_t n = recv(fd, bytes, sizeof bytes, 0);
@@ -56,17 +56,17 @@
   }
 }
 
-int ConsoleRefused(const std::string& console, const http::Message& answer) {
+int ReportConsoleError(const std::string& console, const http::Message& answer) {
   std::fprintf(stderr, "heronway: the console at %s says %u: %s", console.c_str(), answer.status,
                answer.body.c_str());
   return 1;
 }
 
-std::string StandingBody(const Node& node) {
+std::string ClusterBody(const Node& node) {
   Json::Value out = Head(node);
   out["schedulers"] = node.schedulers();
   out["present"] = node.core().fleet_size();
-  out["health"] = node.core().health();
+  out["health"] = node.core().local_health();
   out["digest"] = Json::UInt64(node.core().digest());
   return Write(out);
 }
@@ -77,28 +77,28 @@
   const auto age = [now = node.Now()](Micros at) {
     return at == 0 ? Json::Value() : Json::Int64((now - at) / 1000);
   };
-  for (const View& v : node.core().Members()) {
+  for (const MemberView& v : node.core().Members()) {
     Json::Value m;
     m["name"] = v.record.id.name;
-    m["life"] = Json::UInt64(v.record.id.life);
-    m["address"] = net::ToText(ToAddress(v.record.at));
+    m["life"] = Json::UInt64(v.record.id.boot_id);
+    m["address"] = net::ToText(ToAddress(v.record.endpoint));
     m["zone"] = v.record.zone;
     m["fronts"] = v.record.fronts;
     m["state"] = Name(v.record.state);
     m["incarnation"] = v.record.incarnation;
-    m["protocol"] = v.record.version;
+    m["protocol"] = v.record.protocol_version;
     m["since_ms"] = age(v.since);
-    m["heard_ms"] = age(v.heard);
+    m["heard_ms"] = age(v.last_heard);
     m["round_trip_us"] = v.round_trip > 0 ? Json::Value(Json::Int64(v.round_trip)) : Json::Value();
     members.append(std::move(m));
   }
   return Write(out);
 }
 
-std::optional<Json::Value> ShowJson(const std::string& console, const std::string& path, bool raw,
-                                    int& status) {
+std::optional<Json::Value> FetchConsoleJson(const std::string& console, const std::string& path, bool raw,
+                                            int& status) {
   const http::Message answer = CallConsole(console, "GET", path);
-  status = answer.status == 200 ? 0 : ConsoleRefused(console, answer);
+  status = answer.status == 200 ? 0 : ReportConsoleError(console, answer);
   if (status != 0) return std::nullopt;
   if (raw) {
     std::fputs(answer.body.c_str(), stdout);
@@ -114,7 +114,7 @@
 
 int ShowMembers(const std::string& console, bool json) {
   int status = 0;
-  const auto answer = ShowJson(console, "/v1/cluster/members", json, status);
+  const auto answer = FetchConsoleJson(console, "/v1/cluster/members", json, status);
   if (!answer) return status;
   const Json::Value& all = *answer;
   std::printf("fleet %s as %s sees it: %s\n", all["fleet"].asCString(), all["name"].asCString(),
@@ -138,7 +138,7 @@
 
 int LeaveFleet(const std::string& console) {
   const http::Message answer = CallConsole(console, "PUT", "/v1/cluster/leave");
-  if (answer.status != 200) return ConsoleRefused(console, answer);
+  if (answer.status != 200) return ReportConsoleError(console, answer);
   std::fputs(answer.body.c_str(), stdout);
   return 0;
 }
--- a/src/cluster/tool.h
+++ b/src/cluster/members_tool.h
@@ -17,14 +17,14 @@
 // be asked.
 http::Message CallConsole(const std::string& console, const std::string& method, const std::string& path);
 // Says on standard error what a console answered that is not 200; gives the exit status.
-int ConsoleRefused(const std::string& console, const http::Message& answer);
+int ReportConsoleError(const std::string& console, const http::Message& answer);
 // What a call answers, for a table. Nothing where none is to be made: `raw`, and it was printed as it came,
 // or the console says no; `status` is the exit status then.
-std::optional<Json::Value> ShowJson(const std::string& console, const std::string& path, bool raw,
-                                    int& status);
+std::optional<Json::Value> FetchConsoleJson(const std::string& console, const std::string& path, bool raw,
+                                            int& status);
 
 // Bodies of GET /v1/cluster and GET /v1/cluster/members, as JSON. Times are ages in milliseconds.
-std::string StandingBody(const Node& node);
+std::string ClusterBody(const Node& node);
 std::string MembersBody(const Node& node);
 
 // Asks the console at `console` and prints a table, or what it said where `json`. Gives the exit status: 1
--- a/src/cluster/membership/gossip.cpp
+++ b/src/cluster/membership/gossip.cpp
@@ -3,48 +3,49 @@
 namespace heronway::cluster {
 
 std::size_t Gossip::SizeOf(const Update& u) {
-  // Heads of the texts and arrays, and the numbers at their longest.
-  constexpr std::size_t kRest = 46;
-  return kRest + u.record.id.name.size() + u.record.zone.size() + u.record.fronts.size() + u.accuser.size();
+  // The headers of strings and arrays, and all numbers at their maximum length.
+  constexpr std::size_t kOverheadBytes = 46;
+  return kOverheadBytes + u.record.id.name.size() + u.record.zone.size() + u.record.fronts.size() +
+         u.suspected_by.size();
 }
 
 void Gossip::Put(Update update) {
   Drop(update.record.id);
-  const Turn turn{0, serial_--};
-  turn_of_[update.record.id] = turn;
-  queue_.emplace(turn, std::move(update));
+  const Priority priority{0, next_serial_--};
+  priority_of_[update.record.id] = priority;
+  queue_.emplace(priority, std::move(update));
 }
 
 void Gossip::Drop(const MemberId& id) {
-  const auto it = turn_of_.find(id);
-  if (it == turn_of_.end()) return;
+  const auto it = priority_of_.find(id);
+  if (it == priority_of_.end()) return;
   queue_.erase(it->second);
-  turn_of_.erase(it);
+  priority_of_.erase(it);
 }
 
-void Gossip::Fill(std::size_t bytes, int most_sends, const MemberId& except, std::vector<Update>& out) {
-  std::vector<std::map<Turn, Update>::node_type> sent;
-  // Guards the cost of a datagram when a whole fleet changes at once: what does not fit is looked at a few
-  // times only.
+void Gossip::Fill(std::size_t max_bytes, int max_sends, const MemberId& except, std::vector<Update>& out) {
+  std::vector<std::map<Priority, Update>::node_type> sent;
+  // Bounds the cost of a datagram when a whole fleet changes at once: the search ends after a few updates
+  // that do not fit.
   int misfits = 0;
   for (auto it = queue_.begin(); it != queue_.end() && misfits < 4;) {
     const auto here = it++;
     if (here->second.record.id == except) continue;
     const std::size_t size = SizeOf(here->second);
-    if (size > bytes) {
+    if (size > max_bytes) {
       ++misfits;
       continue;
     }
-    bytes -= size;
+    max_bytes -= size;
     out.push_back(here->second);
     sent.push_back(queue_.extract(here));
   }
   for (auto& node : sent) {
-    if (++node.key().first >= most_sends) {
-      turn_of_.erase(node.mapped().record.id);
+    if (++node.key().first >= max_sends) {
+      priority_of_.erase(node.mapped().record.id);
       continue;
     }
-    turn_of_[node.mapped().record.id] = node.key();
+    priority_of_[node.mapped().record.id] = node.key();
     queue_.insert(std::move(node));
   }
 }
--- a/src/cluster/membership/gossip.h
+++ b/src/cluster/membership/gossip.h
@@ -1,5 +1,7 @@
-// What is still to be passed on, each update a bounded number of times, the least sent first.
-// Source: SWIM (Das, Gupta, Motivala 2002), section 4.1: infection-style dissemination on other messages.
+// The queue of member updates to disseminate. Each update is sent a bounded number of times, the least-sent
+// first.
+// Source: SWIM (Das, Gupta, Motivala 2002), section 4.1: infection-style dissemination, piggybacked on other
+// messages.
 #ifndef HERONWAY_CLUSTER_MEMBERSHIP_GOSSIP_H_
 #define HERONWAY_CLUSTER_MEMBERSHIP_GOSSIP_H_
 
@@ -12,22 +14,24 @@
 
 class Gossip {
  public:
-  // The most bytes that an update takes on the wire.
+  // An upper bound on the encoded size of an update, in bytes.
   static std::size_t SizeOf(const Update& update);
 
-  void Put(Update update);  // in the place of what was said of this member before
+  // Queues an update, replacing any queued update about the same member.
+  void Put(Update update);
   void Drop(const MemberId& id);
-  // Appends to `out` what fits into `bytes` and counts it as sent. `most_sends`: after so many it is done
-  // with. `except`: the member that it goes to, which needs no news of itself.
-  void Fill(std::size_t bytes, int most_sends, const MemberId& except, std::vector<Update>& out);
+  // Appends updates to `out` until `max_bytes` are used, and counts them as sent. An update is removed once it
+  // has been sent `max_sends` times. Updates about `except`, the receiving member, are left out.
+  void Fill(std::size_t max_bytes, int max_sends, const MemberId& except, std::vector<Update>& out);
   bool empty() const { return queue_.empty(); }
   std::size_t size() const { return queue_.size(); }
 
  private:
-  using Turn = std::pair<int, std::uint64_t>;  // sends so far; then the newest first
-  std::map<Turn, Update> queue_;
-  std::map<MemberId, Turn> turn_of_;
-  std::uint64_t serial_ = ~std::uint64_t{0};
+  // The number of sends so far, then a serial number that decreases, so that the newest update goes first.
+  using Priority = std::pair<int, std::uint64_t>;
+  std::map<Priority, Update> queue_;
+  std::map<MemberId, Priority> priority_of_;
+  std::uint64_t next_serial_ = ~std::uint64_t{0};
 };
 
 }  // namespace heronway::cluster
--- a/src/cluster/membership/member.h
+++ b/src/cluster/membership/member.h
@@ -1,4 +1,5 @@
-// What members of a fleet say of each other: identities, records and messages. No wire, no clock.
+// Data types of the membership protocol: identities, member records, facts about targets, and messages.
+// Encoding is in net/codec.h.
 #ifndef HERONWAY_CLUSTER_MEMBERSHIP_MEMBER_H_
 #define HERONWAY_CLUSTER_MEMBERSHIP_MEMBER_H_
 
@@ -10,92 +11,96 @@
 namespace heronway::cluster {
 
 using Micros = std::int64_t;  // times and durations, in microseconds
-// Higher at each start of a process under its name: Unix time in microseconds, and raised above whatever life
-// of the name the fleet remembers where the clock stepped back.
-using Life = std::uint64_t;
+// Identifies one run of a process among all that use the same member name; it increases with each start. It is
+// the Unix time in microseconds at the start, or, if the clock was set back, one more than the highest value
+// that the fleet remembers for the name.
+using BootId = std::uint64_t;
 
-// Bounds on what is believed of others. A record outside them is malformed.
-inline constexpr Life kMostLife = Life{1} << 60;
-inline constexpr std::uint32_t kMostIncarnation = 1U << 30;
-inline constexpr std::size_t kMostName = 64, kMostZone = 32, kMostFronts = 120;
-inline constexpr std::size_t kMostFleet = 64;      // of a fleet's name
-inline constexpr std::size_t kMostMembers = 4096;  // of a fleet, the dead and the left included
-inline constexpr int kProtocol = 1;                // of the messages; a newer one is not read
+// Limits on values received from other members. A record that exceeds them is malformed.
+inline constexpr BootId kMaxBootId = BootId{1} << 60;
+inline constexpr std::uint32_t kMaxIncarnation = 1U << 30;
+inline constexpr std::size_t kMaxNameBytes = 64, kMaxZoneBytes = 32, kMaxFrontsBytes = 120;
+inline constexpr std::size_t kMaxFleetNameBytes = 64;
+inline constexpr std::size_t kMaxMembers = 4096;  // known at once, including dead members and those that left
+inline constexpr int kProtocolVersion = 1;        // messages with a higher version are not decoded
 
-struct Place {  // an IPv4 address and port, in the host's byte order
+// An IPv4 address and port, in host byte order.
+struct Endpoint {
   std::uint32_t ip = 0;
   std::uint16_t port = 0;
-  auto operator<=>(const Place&) const = default;
+  auto operator<=>(const Endpoint&) const = default;
 };
 
 struct MemberId {
   std::string name;
-  Life life = 0;
+  BootId boot_id = 0;
   auto operator<=>(const MemberId&) const = default;
 };
 
-// In the order in which they go before each other at one incarnation.
-enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
-constexpr const char* Name(State state) {
+// Ordered by precedence: at the same incarnation, the higher state overrides the lower one.
+enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
+// The name of the state in logs, metrics and console answers.
+constexpr const char* Name(MemberState state) {
   constexpr const char* kNames[] = {"alive", "suspect", "dead", "left"};
   return kNames[static_cast<int>(state)];
 }
 
-struct Record {
+struct MemberRecord {
   MemberId id;
-  std::uint32_t incarnation = 0;  // raised by the member itself alone, to refute
-  State state = State::kAlive;
-  Place at;            // what it advertises
-  std::string zone;    // label
-  std::string fronts;  // label: NAME=ADDRESS with commas between
-  int version = kProtocol;
+  std::uint32_t incarnation = 0;  // incremented only by the member itself, to refute a suspicion or a verdict
+  MemberState state = MemberState::kAlive;
+  Endpoint endpoint;   // the advertised address
+  std::string zone;    // informational label
+  std::string fronts;  // informational label: NAME=ADDRESS pairs separated by commas
+  int protocol_version = kProtocolVersion;
 };
 
-// A record as it is passed on.
+// A member record as it is gossiped or exchanged.
 struct Update {
-  Record record;
-  std::string accuser;  // of a suspicion: the member that found it
-  Micros age = 0;       // exchanges only, of the dead and the left: since when
+  MemberRecord record;
+  std::string suspected_by;  // with kSuspect: the name of the member that raised the suspicion
+  Micros age = 0;            // in exchanges, with kDead and kLeft: time since the state was entered
 };
 
-// What a scheduler found out of a worker, for the others.
+// What a scheduler has observed about a target.
 enum class FactKind : std::uint8_t {
-  kStarted,  // its process started anew: it is cold
+  kStarted,  // its process restarted, so its caches are cold
   kFailing,  // it refuses connections, breaks them, or does not answer a probe
-  kLoad,     // its report; told to members that have just started, and to nobody else
+  kLoad,     // its load report; sent only to members that have just started
 };
 inline constexpr int kFactKinds = 3;
-inline constexpr std::size_t kMostFacts = 1024;   // in an exchange; a datagram has room for fewer
-inline constexpr std::uint16_t kUnsaid = 0xffff;  // of a figure that a report does not have
+inline constexpr std::size_t kMaxFacts = 1024;  // in one exchange message; a datagram has room for fewer
+inline constexpr std::uint16_t kNotReported = 0xffff;  // value of a load figure that the report lacks
 struct Fact {
-  std::uint64_t target = 0;  // the worker's name, hashed
+  std::uint64_t target = 0;  // hash of the target's name
   FactKind kind = FactKind::kFailing;
-  Micros since = 0;                                 // kStarted: Unix time, as the list has it
-  std::uint64_t witness = 0;                        // the scheduler that saw it, its name hashed
-  Micros age = 0;                                   // since it was seen
-  std::uint16_t waiting = kUnsaid, free = kUnsaid;  // kLoad: jobs that wait and free slots, in tenths
+  Micros since = 0;            // kStarted: start of the process as Unix time, from the discovery list
+  std::uint64_t observer = 0;  // hash of the name of the scheduler that made the observation
+  Micros age = 0;              // time since the observation
+  // kLoad: waiting jobs and free slots, in tenths.
+  std::uint16_t waiting = kNotReported, free = kNotReported;
 };
 
 enum class MessageKind : std::uint8_t {
-  kPing,     // answered by an ack with its number
-  kPingReq,  // the receiver pings `target` and passes the ack on
-  kAck,
-  kNack,    // the receiver of a ping-req has no ack so far: it lives, and so does the way to it
-  kGossip,  // updates alone
-  kDigest,  // exchange, 1: what the caller's view adds up to
-  kState,   // exchange, 2 and 3: the whole view, or nothing where the views are equal
+  kPing,       // answered by an ack with the same number
+  kPingReq,    // asks the receiver to ping `target` and to relay the ack
+  kAck,        // answers a ping
+  kNack,       // answers a ping-req while no ack has arrived: the relaying member is alive and reachable
+  kGossip,     // carries updates only
+  kDigest,     // exchange, step 1: the digest of the initiator's view
+  kFullState,  // exchange, steps 2 and 3: the sender's full view, or no updates if the digests are equal
 };
 inline constexpr int kMessageKinds = 7;
 
 struct Message {
   MessageKind kind = MessageKind::kGossip;
-  std::uint32_t number = 0;  // of the ping that it belongs to
-  Record from;               // the sender, as it sees itself
+  std::uint32_t number = 0;  // sequence number of the ping that the message belongs to
+  MemberRecord from;         // the sender's record of itself
   std::uint64_t digest = 0;  // of the sender's view
-  MemberId target;           // ping and ping-req: whom it is meant for; empty: whoever hears it
-  Place target_at;           // ping-req
+  MemberId target;           // ping and ping-req: the intended receiver; with an empty name: any receiver
+  Endpoint target_at;        // ping-req: where to reach `target`
   std::vector<Update> updates;
-  std::vector<Fact> facts;  // of workers
+  std::vector<Fact> facts;
 };
 
 }  // namespace heronway::cluster
--- a/src/cluster/membership/membership.h
+++ b/src/cluster/membership/membership.h
@@ -1,11 +1,11 @@
-// Who is in the fleet, as one member sees it: `(state, event, now) -> effects`. No I/O, no clock, no thread;
-// the same events, seed and times give the same effects.
+// The membership protocol of one member, as a state machine: `(state, event, now) -> effects`. Does no I/O,
+// reads no clock and uses no threads; the same events, seed and times give the same effects.
 //
 // Sources: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
 // Membership Protocol", 2002) for probes, indirect probes, suspicion, incarnations and gossip; Lifeguard
 // (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018)
-// for the local health score, nacks, suspicion times that shrink and the suspect that is told first.
-// docs/cluster.md says what differs from both, and why.
+// for the local health score, nacks, suspicion timeouts that shrink with confirmations, and notifying the
+// suspect first. docs/cluster.md lists the differences from both, with reasons.
 #ifndef HERONWAY_CLUSTER_MEMBERSHIP_MEMBERSHIP_H_
 #define HERONWAY_CLUSTER_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -20,160 +20,164 @@
 
 #include "src/cluster/membership/gossip.h"
 #include "src/cluster/membership/member.h"
-#include "src/cluster/membership/standing.h"
-#include "src/cluster/news/news.h"
+#include "src/cluster/membership/quorum_state.h"
+#include "src/cluster/target_gossip/target_gossip.h"
 
 namespace heronway::cluster {
 
 struct Settings {
-  Micros period = 500'000;              // between two probes of a healthy member
-  Micros forget = 24 * 3600'000'000LL;  // the dead and the left are known for so long
-  std::vector<Place> join;              // where others may be; oneself among them does no harm
-  bool lifeguard = true;                // off: plain SWIM, for comparison
+  Micros probe_period = 500'000;              // between two probes by a healthy member
+  Micros forget_after = 24 * 3600'000'000LL;  // how long dead members and those that left are remembered
+  std::vector<Endpoint> join;  // where other members may be; may include this member's own address
+  bool lifeguard = true;       // false: plain SWIM, for comparison
 };
 
-// ---- events
-struct Tick {};    // due at the last WakeAt; later does no harm
+// Events.
+struct Tick {};    // due at the last WakeAt; a later tick is harmless
 struct Received {  // a datagram
   Message message;
 };
-// Exchanges: one TCP connection each. `link` is the host's handle for it.
-struct ExchangeUp {  // one that StartExchange asked for is there
+// An exchange uses one TCP connection. `link` is the host's handle for it.
+struct ExchangeConnected {  // a connection requested by StartExchange is established
   std::uint64_t link = 0;
 };
-struct ExchangeGot {
+struct ExchangeReceived {
   std::uint64_t link = 0;
   Message message;
 };
-struct ExchangeOver {  // it ended, or never came up
+struct ExchangeClosed {  // the connection ended, or could not be established
   std::uint64_t link = 0;
 };
-struct SawWorker {  // found out by this scheduler itself
+struct TargetObservation {  // an observation by this scheduler itself
   FactKind kind = FactKind::kFailing;
   std::uint64_t target = 0;
-  Micros since = 0;
-  bool well = false;                                // nothing of that: it answered
-  std::uint16_t waiting = kUnsaid, free = kUnsaid;  // kLoad
+  Micros since = 0;                                           // kStarted: Unix time
+  bool healthy = false;                                       // the target answered; `kind` does not apply
+  std::uint16_t waiting = kNotReported, free = kNotReported;  // kLoad: in tenths
 };
-struct Leave {};  // say goodbye; nothing is sent any more after a few ticks
-using Event = std::variant<Tick, Received, ExchangeUp, ExchangeGot, ExchangeOver, SawWorker, Leave>;
+struct Leave {};  // announces a planned leave; the member sends nothing after a few more ticks
+using Event = std::variant<Tick, Received, ExchangeConnected, ExchangeReceived, ExchangeClosed,
+                           TargetObservation, Leave>;
 
-// ---- effects
-struct WakeAt {  // replaces the one before
+// Effects.
+struct WakeAt {  // requests a Tick; replaces the previous request
   Micros at;
 };
 struct SendDatagram {
-  std::string name;  // of the member, where it is known: the host may have another way to it
-  Place to;
+  std::string name;  // of the receiver, if known: the host may have a configured address for it
+  Endpoint to;
   Message message;
 };
 struct StartExchange {
   std::uint64_t link;
-  std::string name;
-  Place to;
+  std::string name;  // of the peer; empty if unknown
+  Endpoint to;
 };
-struct ExchangeSend {
+struct SendExchange {
   std::uint64_t link;
   Message message;
-  bool last;  // close behind it
+  bool last;  // close the connection once the message is written
 };
-struct ExchangeEnd {
+struct CloseExchange {
   std::uint64_t link;
 };
-struct Changed {  // to be told to the operators; `to` equals `from` where only the incarnation moved
-  Record record;
-  std::optional<State> from;  // nothing: it was not known
-  std::string why;            // a word
+struct MemberChanged {  // for the log; the state equals `from` if only the incarnation changed
+  MemberRecord record;
+  std::optional<MemberState> from;  // nullopt: the member was not known before
+  std::string why;                  // a one-word reason
 };
-struct StandingChanged {
-  Standing standing;
-  std::size_t known, present;
+struct QuorumStateChanged {
+  QuorumState quorum_state;
+  std::size_t known, present;  // member names, including this member's
 };
-struct Twins {  // two processes have served under one name for too long
+struct DuplicateName {  // two processes have used one name for longer than kDuplicateNameGrace
   std::string name;
-  Record one, other;
+  MemberRecord one, other;
 };
-struct Parted {};  // goodbye has been said
-struct Hinted {    // others' news call for it
-  Hint hint;
+struct LeaveCompleted {};  // the leave has been announced; the member is stopped
+struct AdviceGiven {       // facts from other members suggest an action on a target
+  TargetAdvice advice;
 };
-using Effect = std::variant<WakeAt, SendDatagram, StartExchange, ExchangeSend, ExchangeEnd, Changed,
-                            StandingChanged, Twins, Parted, Hinted>;
+using Effect = std::variant<WakeAt, SendDatagram, StartExchange, SendExchange, CloseExchange, MemberChanged,
+                            QuorumStateChanged, DuplicateName, LeaveCompleted, AdviceGiven>;
 
-// A member as an operator sees it.
-struct View {
-  Record record;
-  Micros since = 0;       // of its state
-  Micros heard = 0;       // the last message of its own; 0: never
-  Micros round_trip = 0;  // of the last ack; 0: none yet
+// What this member knows about a member.
+struct MemberView {
+  MemberRecord record;
+  Micros since = 0;       // when it entered its state
+  Micros last_heard = 0;  // when its last own message arrived; 0: never
+  Micros round_trip = 0;  // measured by the last ack; 0: not measured
 };
 
 struct MembershipCounters {
   std::uint64_t probes = 0, probes_failed = 0, indirect = 0, exchanges = 0;
-  std::uint64_t suspicions = 0;        // raised by this member
-  std::uint64_t refuted = 0;           // of this member, by itself
-  std::uint64_t false_verdicts = 0;    // members that were held dead and live: after a cut, or by mistake
-  std::uint64_t verdicts = 0;          // passed by this member
-  std::uint64_t stalls = 0;            // times that this process stood still
-  std::uint64_t facts = 0, hints = 0;  // of workers: heard, and worth a look
+  std::uint64_t suspicions = 0;         // raised by this member
+  std::uint64_t refuted = 0;            // suspicions and verdicts against this member that it refuted
+  std::uint64_t false_verdicts = 0;     // members seen alive again after a verdict: a partition or a mistake
+  std::uint64_t verdicts = 0;           // declared dead by this member
+  std::uint64_t stalls = 0;             // times that this process did not run for over a probe period
+  std::uint64_t facts = 0, advice = 0;  // facts received about targets, and actions suggested because of them
 };
 
 class Membership {
  public:
-  // `self`: its life should be the Unix time; its incarnation and state are passed over.
-  Membership(const Settings& settings, Record self, std::uint64_t seed, Micros now);
+  // `self`: its boot id should be the Unix time in microseconds; its incarnation and state are ignored.
+  Membership(const Settings& settings, MemberRecord self, std::uint64_t seed, Micros now);
 
+  // Handles one event and appends the resulting effects, to be carried out in order.
   void Handle(Micros now, Event event, std::vector<Effect>& effects);
 
-  const Record& self() const { return self_; }
-  Standing standing() const { return standing_.standing(); }
-  int fleet_size() const { return static_cast<int>(present_); }  // names that are there, oneself included
-  std::uint64_t digest() const { return digest_; }               // equal views have equal ones
-  int health() const { return health_; }                         // 0: well; each step slows its accusations
+  const MemberRecord& self() const { return self_; }
+  QuorumState quorum_state() const { return quorum_filter_.quorum_state(); }
+  int fleet_size() const { return static_cast<int>(present_); }  // present member names, including this one
+  std::uint64_t digest() const { return digest_; }               // equal for equal views
+  // The local health score, 0 (healthy) to kMaxLocalHealth; each step makes this member suspect others later.
+  int local_health() const { return local_health_; }
   const MembershipCounters& counters() const { return counters_; }
-  std::vector<View> Members() const;  // oneself included, in the order of names
-  // The newest life of a name; null where it is not known, or one's own.
-  const View* Find(const std::string& name) const;
-  bool Joined() const { return joined_; }
+  std::vector<MemberView> Members() const;  // including this member, ordered by name
+  // The newest boot of another member's name; null if the name is unknown.
+  const MemberView* Find(const std::string& name) const;
+  bool joined() const { return joined_; }  // whether any other member has been heard
 
-  // One name may have two lives for so long, while a process is replaced.
-  static constexpr Micros kTwinsMay = 60'000'000;
-  static constexpr int kHelpers = 3;             // that are asked for an indirect probe
-  static constexpr int kConfirmations = 3;       // independent ones, until a suspicion's time is shortest
-  static constexpr Micros kLearns = 10'000'000;  // after its start a member is told what workers do
-  static constexpr int kMostHealth = 8;
-  static constexpr std::size_t kMostDatagram = 1400;
+  // How long two processes may use one name, while one replaces the other.
+  static constexpr Micros kDuplicateNameGrace = 60'000'000;
+  static constexpr int kIndirectProbers = 3;  // members asked for an indirect probe
+  static constexpr int kConfirmations = 3;    // independent ones at which a suspicion's timeout is shortest
+  // How long after its start a member receives peers' observations of targets.
+  static constexpr Micros kLearningPeriod = 10'000'000;
+  static constexpr int kMaxLocalHealth = 8;
+  static constexpr std::size_t kMaxDatagramBytes = 1400;
 
  private:
-  struct Entry : View {
-    std::uint64_t hash = 0;  // its part of the digest; 0: none
-    std::set<std::string> accusers;
+  struct Entry : MemberView {
+    std::uint64_t hash = 0;  // its part of the digest; 0: not part of it
+    std::set<std::string> suspected_by;
     Micros suspect_since = 0;
-    Micros met = 0;  // by this member, in this life
+    Micros first_seen = 0;  // by this process
   };
   struct Probe {
     std::uint32_t number;
     MemberId target;
-    Micros sent, indirect_at, ends;
+    Micros sent, indirect_at, deadline;
     bool indirect = false;
-    int asked = 0, nacks = 0;
+    int requested = 0, nacks = 0;
   };
-  struct Help {  // a ping for another member
+  struct RelayedPing {  // a ping sent on behalf of the member `name`
     std::uint32_t number;
     std::uint32_t for_number;
     std::string name;
-    Place to;
-    Micros nack_at, ends;
+    Endpoint to;
+    Micros nack_at, deadline;
     bool nacked = false;
   };
   enum class Source : std::uint8_t { kGossip, kExchange };
 
   void On(Tick&);
   void On(Received& e);
-  void On(ExchangeUp& e);
-  void On(ExchangeGot& e);
-  void On(ExchangeOver& e);
-  void On(SawWorker& e);
+  void On(ExchangeConnected& e);
+  void On(ExchangeReceived& e);
+  void On(ExchangeClosed& e);
+  void On(TargetObservation& e);
   void On(Leave&);
 
   void OnPing(const Message& m);
@@ -183,82 +187,83 @@
 
   void ProbeNext();
   void StartProbe(Entry& target);
-  void LookAtProbes();
-  void LookAtHelps();
-  void LookAtSuspicions();
-  void LookAtDead();
-  void LookAtExchange();
-  void LookAtNames();
-  void SpreadGossip();
-  void Stalled(Micros gap);
+  void CheckProbes();
+  void CheckRelayedPings();
+  void ExpireSuspicions();
+  void RetryDead();
+  void StartDueExchanges();
+  void CheckNames();
+  void SendGossip();
+  void HandleStall(Micros gap);
 
-  bool Believe(const Update& update, Source source);
-  bool OwnName(const Update& update);
-  void Hear(const Record& from);
-  void Suspect(Entry& entry, const std::string& accuser);
-  Micros SuspicionEnds(const Entry& entry) const;
-  void Set(Entry& entry, const Record& record, const char* why);
-  void Tell(const Record& record, const std::string& accuser = {});
-  void TellSelf();
+  bool ApplyUpdate(const Update& update, Source source);
+  bool ApplyOwnNameUpdate(const Update& update);
+  void RecordSender(const MemberRecord& from);
+  void Suspect(Entry& entry, const std::string& suspected_by);
+  Micros SuspicionDeadline(const Entry& entry) const;
+  void ReplaceRecord(Entry& entry, const MemberRecord& record, const char* why);
+  void QueueUpdate(const MemberRecord& record, const std::string& suspected_by = {});
+  void QueueSelf();
   void Refute(std::uint32_t incarnation);
-  void Reborn(Life life);
+  void AdoptBootId(BootId boot_id);
   void Remove(const MemberId& id);
-  void Supersede(const Record& newer);
-  bool Superseded(const Record& record) const;
-  void Unlist(Entry& entry);
-  void List(Entry& entry);
-  void Recount();
-  void LookAtStanding();
+  void RemoveOlderBoots(const MemberRecord& newer);
+  bool IsSuperseded(const MemberRecord& record) const;
+  void RemoveFromIndexes(Entry& entry);
+  void AddToIndexes(Entry& entry);
+  void RecountNames();
+  void UpdateQuorumState();
 
-  Message Make(MessageKind kind, std::uint32_t number = 0) const;
-  void Send(const MemberId& to, Place at, Message message);
-  void Exchange(const std::string& name, Place at, bool join = false);
-  void CompareView(const Message& m);
-  Message WholeView() const;
-  void TakeNews(const std::vector<Fact>& facts, int schedulers);
-  std::vector<Entry*> Pick(std::size_t count, const MemberId* except);
-  Micros Scaled(Micros time) const { return time * (1 + health_); }
-  void Health(int by);
-  Micros TickTime() const { return settings_.period / 5; }
+  Message MakeMessage(MessageKind kind, std::uint32_t number = 0) const;
+  void Send(const MemberId& to, Endpoint at, Message message);
+  void BeginExchange(const std::string& name, Endpoint at, bool join = false);
+  void CompareDigest(const Message& m);
+  Message FullState() const;
+  void HandleFacts(const std::vector<Fact>& facts, int schedulers);
+  std::vector<Entry*> PickAlive(std::size_t count, const MemberId* except);
+  Micros ScaleByHealth(Micros time) const { return time * (1 + local_health_); }
+  void AdjustHealth(int by);
+  Micros TickInterval() const { return settings_.probe_period / 5; }
   Micros Jitter(Micros time);
-  double Unit();
-  std::uint32_t Below(std::uint32_t bound) { return random_(bound); }
-  double Logs() const;  // log10 of the fleet, at least 1
-  int MostSends() const;
+  double RandomUnit();
+  std::uint32_t RandomBelow(std::uint32_t bound) { return random_(bound); }
+  double LogFleetSize() const;  // log10 of the fleet size, at least 1
+  int MaxSends() const;
 
   Settings settings_;
-  Record self_;
+  MemberRecord self_;
   pcg32 random_;
   Micros now_, started_;
   std::vector<Effect>* effects_ = nullptr;
 
-  std::map<MemberId, Entry> members_;  // without oneself
-  std::vector<Entry*> ring_;           // alive and suspect ones, in the order of probes
+  std::map<MemberId, Entry> members_;  // without this member
+  std::vector<Entry*> ring_;           // alive and suspect members, in probe order
   std::vector<Entry*> dead_;
   std::set<MemberId> suspects_;
-  std::size_t next_ = 0;       // in the ring
-  std::deque<MemberId> soon_;  // to be probed before the ring goes on
+  std::size_t ring_index_ = 0;            // the next member of ring_ to probe
+  std::deque<MemberId> priority_probes_;  // probed before the next member of the ring
   Gossip gossip_;
-  News news_;
+  TargetGossip target_gossip_;
   std::vector<Probe> probes_;
-  std::vector<Help> helps_;
+  std::vector<RelayedPing> relayed_pings_;
   std::uint32_t last_number_;
-  Micros next_probe_, next_tick_, next_retry_, next_exchange_, next_join_, next_names_;
-  int retries_ = 0;                       // of the dead, beyond the usual pace
-  std::map<std::uint64_t, Place> links_;  // exchanges that this member began; a place: one of `join`
+  Micros next_probe_, next_tick_, next_retry_, next_exchange_, next_join_, next_name_check_;
+  int retries_ = 0;  // extra pings to dead members, on top of the usual rate
+  std::map<std::uint64_t, Endpoint>
+      exchanges_;  // those that this member started, with the `join` address if it was used
   std::uint64_t last_link_ = 0;
-  std::set<Place> own_places_;  // of `join`, that turned out to be oneself
-  std::size_t join_turn_ = 0;
-  Micros join_wait_;
+  std::set<Endpoint> own_endpoints_;  // addresses in `join` that turned out to be this member's
+  std::size_t join_index_ = 0;
+  Micros join_backoff_;
   Micros changed_at_ = 0, exchanged_at_ = 0;
-  std::uint64_t digest_ = 0, own_hash_ = 0;  // sums, so that one change costs one hash
-  std::map<std::string, Micros> twins_told_;
+  std::uint64_t digest_ = 0, own_hash_ = 0;  // sums of hashes, so that one change costs one hash
+  std::map<std::string, Micros> duplicate_reported_at_;
   std::size_t known_ = 1, present_ = 1;
-  bool joined_ = false, recount_ = true;
-  int health_ = 0;
-  Micros leave_ends_ = -1;
-  bool parted_ = false;
-  StandingWatch standing_;
+  bool joined_ = false, recount_needed_ = true;
+  int local_health_ = 0;
+  Micros leave_at_ = -1;  // when a planned leave completes; -1: none
+  bool left_ = false;
+  QuorumStateFilter quorum_filter_;
   MembershipCounters counters_;
 };
 
--- a/src/cluster/membership/probing.cpp
+++ b/src/cluster/membership/probing.cpp
@@ -8,31 +8,32 @@
 namespace heronway::cluster {
 namespace {
 
-constexpr std::size_t kMostHelps = 64;
-constexpr std::size_t kSpread = 3;       // members that a tick's gossip goes to
-constexpr int kRetriesATick = 8;         // of the dead, while a cut heals
-constexpr std::size_t kHeadBytes = 170;  // of a message without updates, the texts of its sender left out
+constexpr std::size_t kMaxRelayedPings = 64;
+constexpr std::size_t kGossipFanout = 3;  // members that a tick's gossip goes to
+constexpr int kMaxRetriesPerTick = 8;     // of the dead, while a cut heals
+constexpr std::size_t kMaxMessageOverheadBytes =
+    170;  // of a message without updates, the texts of its sender left out
 
 }  // namespace
 
-double Membership::Unit() { return random_() * 0x1p-32; }
+double Membership::RandomUnit() { return random_() * 0x1p-32; }
 
 // Half to one and a half of it.
 Micros Membership::Jitter(Micros time) {
-  return static_cast<Micros>(static_cast<double>(time) * (0.5 + Unit()));
+  return static_cast<Micros>(static_cast<double>(time) * (0.5 + RandomUnit()));
 }
 
-double Membership::Logs() const { return std::max(1.0, std::log10(static_cast<double>(present_))); }
+double Membership::LogFleetSize() const { return std::max(1.0, std::log10(static_cast<double>(present_))); }
 
-int Membership::MostSends() const {
+int Membership::MaxSends() const {
   return static_cast<int>(std::ceil(4 * std::log10(static_cast<double>(present_) + 1)));
 }
 
-void Membership::Health(int by) {
-  if (settings_.lifeguard) health_ = std::clamp(health_ + by, 0, kMostHealth);
+void Membership::AdjustHealth(int by) {
+  if (settings_.lifeguard) local_health_ = std::clamp(local_health_ + by, 0, kMaxLocalHealth);
 }
 
-Message Membership::Make(MessageKind kind, std::uint32_t number) const {
+Message Membership::MakeMessage(MessageKind kind, std::uint32_t number) const {
   Message m;
   m.kind = kind;
   m.number = number;
@@ -43,50 +44,52 @@
 
 // With what there is to tell, and first of all what is held against the receiver, so that it can refute it
 // (Lifeguard, section IV-C; here for the dead as well, which is how a healed cut is noticed).
-void Membership::Send(const MemberId& to, Place at, Message m) {
-  const std::size_t own =
-      kHeadBytes + self_.id.name.size() + self_.zone.size() + self_.fronts.size() + m.target.name.size();
-  std::size_t room = kMostDatagram - std::min(own, kMostDatagram);
-  for (const Update& u : m.updates) room -= std::min(room, Gossip::SizeOf(u));
-  const auto add = [&](const Record& record, const std::string& accuser) {
-    Update u{record, accuser, 0};
+void Membership::Send(const MemberId& to, Endpoint at, Message m) {
+  const std::size_t own = kMaxMessageOverheadBytes + self_.id.name.size() + self_.zone.size() +
+                          self_.fronts.size() + m.target.name.size();
+  std::size_t free_bytes = kMaxDatagramBytes - std::min(own, kMaxDatagramBytes);
+  for (const Update& u : m.updates) free_bytes -= std::min(free_bytes, Gossip::SizeOf(u));
+  const auto add = [&](const MemberRecord& record, const std::string& suspected_by) {
+    Update u{record, suspected_by, 0};
     const std::size_t size = Gossip::SizeOf(u);
-    if (size > room) return;
-    room -= size;
+    if (size > free_bytes) return;
+    free_bytes -= size;
     m.updates.push_back(std::move(u));
   };
   const auto it = members_.find(to);
-  if (it != members_.end() && it->second.record.state != State::kAlive &&
-      (settings_.lifeguard || it->second.record.state == State::kDead)) {
+  if (it != members_.end() && it->second.record.state != MemberState::kAlive &&
+      (settings_.lifeguard || it->second.record.state == MemberState::kDead)) {
     add(it->second.record, self_.id.name);
   } else if (it == members_.end()) {
     // It may be a life that is over here: it learns of the higher one, and takes one above it.
-    const View* newest = Find(to.name);
-    if (newest != nullptr && newest->record.id.life > to.life && newest->record.at == at)
+    const MemberView* newest = Find(to.name);
+    if (newest != nullptr && newest->record.id.boot_id > to.boot_id && newest->record.endpoint == at)
       add(newest->record, {});
   }
   const std::size_t before = m.updates.size();
-  gossip_.Fill(room, MostSends(), to, m.updates);
-  for (std::size_t i = before; i < m.updates.size(); ++i) room -= Gossip::SizeOf(m.updates[i]);
-  news_.Fill(now_, std::min(room, kMostFacts * News::kFactBytes), MostSends(), m.facts);
+  gossip_.Fill(free_bytes, MaxSends(), to, m.updates);
+  for (std::size_t i = before; i < m.updates.size(); ++i) free_bytes -= Gossip::SizeOf(m.updates[i]);
+  target_gossip_.Fill(now_, std::min(free_bytes, kMaxFacts * TargetGossip::kMaxFactBytes), MaxSends(),
+                      m.facts);
   effects_->push_back(SendDatagram{to.name, at, std::move(m)});
 }
 
 // ---- probes
 
 void Membership::ProbeNext() {
-  while (!soon_.empty()) {
-    const auto it = members_.find(soon_.front());
-    soon_.pop_front();
-    if (it != members_.end() && it->second.record.state <= State::kSuspect) return StartProbe(it->second);
+  while (!priority_probes_.empty()) {
+    const auto it = members_.find(priority_probes_.front());
+    priority_probes_.pop_front();
+    if (it != members_.end() && it->second.record.state <= MemberState::kSuspect)
+      return StartProbe(it->second);
   }
   if (ring_.empty()) return;
-  if (next_ >= ring_.size()) {
+  if (ring_index_ >= ring_.size()) {
     for (std::size_t i = ring_.size() - 1; i > 0; --i)
-      std::swap(ring_[i], ring_[Below(static_cast<std::uint32_t>(i) + 1)]);
-    next_ = 0;
+      std::swap(ring_[i], ring_[RandomBelow(static_cast<std::uint32_t>(i) + 1)]);
+    ring_index_ = 0;
   }
-  StartProbe(*ring_[next_++]);
+  StartProbe(*ring_[ring_index_++]);
 }
 
 void Membership::StartProbe(Entry& target) {
@@ -94,149 +97,150 @@
   if (std::any_of(probes_.begin(), probes_.end(), [&](const Probe& p) { return p.target == id; })) return;
   ++counters_.probes;
   const std::uint32_t number = ++last_number_;
-  probes_.push_back(
-      Probe{number, id, now_, now_ + Scaled(2 * TickTime()), now_ + Scaled(settings_.period), false, 0, 0});
-  Message ping = Make(MessageKind::kPing, number);
+  probes_.push_back(Probe{number, id, now_, now_ + ScaleByHealth(2 * TickInterval()),
+                          now_ + ScaleByHealth(settings_.probe_period), false, 0, 0});
+  Message ping = MakeMessage(MessageKind::kPing, number);
   ping.target = id;
-  Send(id, target.record.at, std::move(ping));
+  Send(id, target.record.endpoint, std::move(ping));
 }
 
-void Membership::LookAtProbes() {
+void Membership::CheckProbes() {
   std::vector<Probe> failed;
   for (Probe& p : probes_) {
     if (!p.indirect && now_ >= p.indirect_at) {
       p.indirect = true;
       const auto target = members_.find(p.target);
       if (target == members_.end()) continue;
-      for (Entry* helper : Pick(kHelpers, &p.target)) {
-        ++p.asked;
+      for (Entry* relay : PickAlive(kIndirectProbers, &p.target)) {
+        ++p.requested;
         ++counters_.indirect;
-        Message ask = Make(MessageKind::kPingReq, p.number);
+        Message ask = MakeMessage(MessageKind::kPingReq, p.number);
         ask.target = p.target;
-        ask.target_at = target->second.record.at;
-        Send(helper->record.id, helper->record.at, std::move(ask));
+        ask.target_at = target->second.record.endpoint;
+        Send(relay->record.id, relay->record.endpoint, std::move(ask));
       }
     }
-    if (now_ >= p.ends) failed.push_back(p);
+    if (now_ >= p.deadline) failed.push_back(p);
   }
-  std::erase_if(probes_, [this](const Probe& p) { return now_ >= p.ends; });
+  std::erase_if(probes_, [this](const Probe& p) { return now_ >= p.deadline; });
   for (const Probe& p : failed) {
     ++counters_.probes_failed;
     // Helpers that answered nothing either speak against this member's own state, not the target's. One step
     // a probe, however many were silent: after a mass death most helpers are dead, and the living must not
     // slow down for it.
-    if (p.asked == 0 || p.nacks < p.asked) Health(1);
+    if (p.requested == 0 || p.nacks < p.requested) AdjustHealth(1);
     const auto it = members_.find(p.target);
-    if (it != members_.end() && it->second.record.state <= State::kSuspect && leave_ends_ < 0)
+    if (it != members_.end() && it->second.record.state <= MemberState::kSuspect && leave_at_ < 0)
       Suspect(it->second, self_.id.name);
   }
 }
 
 void Membership::OnPing(const Message& m) {
-  CompareView(m);
+  CompareDigest(m);
   // A process that took the place of the one that is meant must not answer for it.
   if (!m.target.name.empty() && m.target != self_.id)
-    return Send(m.from.id, m.from.at, Make(MessageKind::kGossip));
-  Send(m.from.id, m.from.at, Make(MessageKind::kAck, m.number));
+    return Send(m.from.id, m.from.endpoint, MakeMessage(MessageKind::kGossip));
+  Send(m.from.id, m.from.endpoint, MakeMessage(MessageKind::kAck, m.number));
 }
 
 void Membership::OnPingReq(const Message& m) {
-  if (m.target.name.empty() || helps_.size() >= kMostHelps) return;
+  if (m.target.name.empty() || relayed_pings_.size() >= kMaxRelayedPings) return;
   const std::uint32_t number = ++last_number_;
-  helps_.push_back(
-      Help{number, m.number, m.from.id.name, m.from.at, now_ + TickTime(), now_ + settings_.period, false});
-  Message ping = Make(MessageKind::kPing, number);
+  relayed_pings_.push_back(RelayedPing{number, m.number, m.from.id.name, m.from.endpoint,
+                                       now_ + TickInterval(), now_ + settings_.probe_period, false});
+  Message ping = MakeMessage(MessageKind::kPing, number);
   ping.target = m.target;
   Send(m.target, m.target_at, std::move(ping));
 }
 
 void Membership::OnAck(const Message& m) {
-  CompareView(m);
+  CompareDigest(m);
   const auto probe =
       std::find_if(probes_.begin(), probes_.end(), [&](const Probe& p) { return p.number == m.number; });
   if (probe != probes_.end()) {
     const auto it = members_.find(m.from.id);
     if (probe->target == m.from.id) {
       if (it != members_.end()) it->second.round_trip = now_ - probe->sent;
-      Health(-1);
+      AdjustHealth(-1);
     }
     probes_.erase(probe);
     return;
   }
-  const auto help =
-      std::find_if(helps_.begin(), helps_.end(), [&](const Help& h) { return h.number == m.number; });
-  if (help == helps_.end()) return;
-  const Help done = *help;
-  helps_.erase(help);
-  const View* asker = Find(done.name);
-  Message ack = Make(MessageKind::kAck, done.for_number);
+  const auto help = std::find_if(relayed_pings_.begin(), relayed_pings_.end(),
+                                 [&](const RelayedPing& h) { return h.number == m.number; });
+  if (help == relayed_pings_.end()) return;
+  const RelayedPing relayed = *help;
+  relayed_pings_.erase(help);
+  const MemberView* requester = Find(relayed.name);
+  Message ack = MakeMessage(MessageKind::kAck, relayed.for_number);
   ack.updates.push_back(Update{m.from, {}, 0});
-  Send(asker != nullptr ? asker->record.id : MemberId{done.name, 0}, done.to, std::move(ack));
+  Send(requester != nullptr ? requester->record.id : MemberId{relayed.name, 0}, relayed.to, std::move(ack));
 }
 
 void Membership::OnNack(const Message& m) {
   for (Probe& p : probes_) {
-    if (p.number == m.number && p.nacks < p.asked) ++p.nacks;
+    if (p.number == m.number && p.nacks < p.requested) ++p.nacks;
   }
 }
 
-void Membership::LookAtHelps() {
-  for (Help& h : helps_) {
+void Membership::CheckRelayedPings() {
+  for (RelayedPing& h : relayed_pings_) {
     if (h.nacked || now_ < h.nack_at || !settings_.lifeguard) continue;
     h.nacked = true;
-    const View* asker = Find(h.name);
-    Send(asker != nullptr ? asker->record.id : MemberId{h.name, 0}, h.to,
-         Make(MessageKind::kNack, h.for_number));
+    const MemberView* requester = Find(h.name);
+    Send(requester != nullptr ? requester->record.id : MemberId{h.name, 0}, h.to,
+         MakeMessage(MessageKind::kNack, h.for_number));
   }
-  std::erase_if(helps_, [this](const Help& h) { return now_ >= h.ends; });
+  std::erase_if(relayed_pings_, [this](const RelayedPing& h) { return now_ >= h.deadline; });
 }
 
 // The dead are tried again, so that a healed cut needs no operator: one every few periods, and more at once
 // while such tries succeed.
-void Membership::LookAtDead() {
-  if (dead_.empty() || leave_ends_ >= 0) {
+void Membership::RetryDead() {
+  if (dead_.empty() || leave_at_ >= 0) {
     retries_ = 0;
     return;
   }
-  int tries = std::min(retries_, kRetriesATick);
-  retries_ -= tries;
+  int attempts = std::min(retries_, kMaxRetriesPerTick);
+  retries_ -= attempts;
   if (now_ >= next_retry_) {
-    next_retry_ = now_ + Jitter(4 * settings_.period);
-    ++tries;
+    next_retry_ = now_ + Jitter(4 * settings_.probe_period);
+    ++attempts;
   }
-  for (; tries > 0; --tries) {
-    const Entry& dead = *dead_[Below(static_cast<std::uint32_t>(dead_.size()))];
-    Message ping = Make(MessageKind::kPing, ++last_number_);
+  for (; attempts > 0; --attempts) {
+    const Entry& dead = *dead_[RandomBelow(static_cast<std::uint32_t>(dead_.size()))];
+    Message ping = MakeMessage(MessageKind::kPing, ++last_number_);
     ping.target = dead.record.id;
-    Send(dead.record.id, dead.record.at, std::move(ping));
+    Send(dead.record.id, dead.record.endpoint, std::move(ping));
   }
 }
 
-void Membership::SpreadGossip() {
-  if (gossip_.empty() && !news_.waiting()) return;
-  for (Entry* to : Pick(kSpread, nullptr)) Send(to->record.id, to->record.at, Make(MessageKind::kGossip));
+void Membership::SendGossip() {
+  if (gossip_.empty() && !target_gossip_.has_queued()) return;
+  for (Entry* to : PickAlive(kGossipFanout, nullptr))
+    Send(to->record.id, to->record.endpoint, MakeMessage(MessageKind::kGossip));
 }
 
 // What this member missed meanwhile speaks against itself: probes under way are void, suspicions are given
 // the time again, and it accuses slowly until its probes succeed.
-void Membership::Stalled(Micros gap) {
+void Membership::HandleStall(Micros gap) {
   next_tick_ = now_;
   if (!settings_.lifeguard) return;
   ++counters_.stalls;
   probes_.clear();
-  helps_.clear();
+  relayed_pings_.clear();
   for (const MemberId& id : suspects_) members_.at(id).suspect_since += gap;
-  next_probe_ = now_ + settings_.period;
-  Health(2);
+  next_probe_ = now_ + settings_.probe_period;
+  AdjustHealth(2);
 }
 
 // Living members, each at most once.
-std::vector<Membership::Entry*> Membership::Pick(std::size_t count, const MemberId* except) {
+std::vector<Membership::Entry*> Membership::PickAlive(std::size_t count, const MemberId* except) {
   std::vector<Entry*> picked;
   // Enough draws to find them in a fleet of which half is suspected; a small one is looked through.
   for (std::size_t n = 0; n < 8 * count + 8 && picked.size() < count && !ring_.empty(); ++n) {
-    Entry* e = ring_[Below(static_cast<std::uint32_t>(ring_.size()))];
-    if (e->record.state != State::kAlive || (except != nullptr && e->record.id == *except)) continue;
+    Entry* e = ring_[RandomBelow(static_cast<std::uint32_t>(ring_.size()))];
+    if (e->record.state != MemberState::kAlive || (except != nullptr && e->record.id == *except)) continue;
     if (std::find(picked.begin(), picked.end(), e) == picked.end()) picked.push_back(e);
   }
   return picked;
--- a/src/cluster/net/node.h
+++ b/src/cluster/net/node.h
@@ -22,75 +22,77 @@
 
 class Node {
  public:
-  struct Host {
+  struct Callbacks {
     // The standing, or the number of schedulers to reckon with, has changed.
-    std::function<void(Standing standing, int schedulers)> seen;
+    std::function<void(QuorumState standing, int schedulers)> on_quorum_change;
     // Others' news of a worker call for a look.
-    std::function<void(const Hint& hint)> hinted = nullptr;
-    int least_schedulers = 1;  // the number never falls below
+    std::function<void(const TargetAdvice& advice)> on_advice = nullptr;
+    int min_schedulers = 1;  // the number never falls below
   };
-  static constexpr std::size_t kMostLinks = 16;
-  static constexpr std::size_t kDescriptors = kMostLinks + 2;  // to be taken off the clients' share
-  static constexpr Micros kLinkTime = 5'000'000;
-  static constexpr Micros kDialTime = 1'000'000;
-  static constexpr int kDatagramsATurn = 64;
-  static constexpr Micros kDropLogEvery = 1'000'000;  // a line a reason
-  static constexpr Micros kSizeHalving = 30'000'000;  // of the number of schedulers, at most
+  static constexpr std::size_t kMaxLinks = 16;
+  static constexpr std::size_t kMaxDescriptors = kMaxLinks + 2;  // to be taken off the clients' share
+  static constexpr Micros kLinkTimeout = 5'000'000;
+  static constexpr Micros kConnectTimeout = 1'000'000;
+  static constexpr int kDatagramsPerTurn = 64;
+  static constexpr Micros kDropLogInterval = 1'000'000;    // a line a reason
+  static constexpr Micros kFleetSizeHalving = 30'000'000;  // of the number of schedulers, at most
 
   // `name`, `zone`: the scheduler's, where the options have none. Throws std::runtime_error where it cannot
   // listen, and where a name cannot be told.
   Node(net::Shared& shared, const Options& options, const std::string& name, const std::string& zone,
-       const std::string& fronts, std::uint64_t seed, Host host);
+       const std::string& fronts, std::uint64_t seed, Callbacks callbacks);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
   void Leave();
-  void SawWorker(const cluster::SawWorker& saw) { Post(saw); }
+  void Observe(const TargetObservation& observation) { Post(observation); }
   const Membership& core() const { return core_; }
   const std::string& fleet() const { return options_.fleet; }
   net::Address address() const { return bound_; }
   Micros Now() const { return shared_.loop.Now(); }
-  int schedulers() const { return size_.size(); }
-  std::size_t unused_connections() const { return kMostLinks - std::min(kMostLinks, links_.size()); }
+  int schedulers() const { return fleet_size_.size(); }
+  std::size_t unused_connections() const { return kMaxLinks - std::min(kMaxLinks, links_.size()); }
   // For the figures: NAME and value.
-  std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
+  std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
 
  private:
   struct Link;
-  const Record& Open(const std::string& name, const std::string& zone, const std::string& fronts);
+  const MemberRecord& OpenSockets(const std::string& name, const std::string& zone,
+                                  const std::string& fronts);
   void Bind();
   void Post(Event event);
-  void Carry(Effect& effect);
+  void Execute(Effect& effect);
   void Send(const SendDatagram& send);
-  void ReadSome();
-  void Dropped(Drop why, const net::Address& from);
-  void LookAtSize();
-  bool MakeRoom();
-  void Accepted(int fd, const net::Address& from);
-  void Remove(Link& link, net::Reason reason);
-  Link* Find(std::uint64_t id);
+  void ReadDatagrams();
+  void CountDrop(DropReason why, const net::Address& from);
+  void UpdateSchedulerCount();
+  bool EvictOldestLinkIfFull();
+  void AcceptLink(int fd, const net::Address& from);
+  void RemoveLink(Link& link, net::Reason reason);
+  Link* FindLink(std::uint64_t id);
 
   net::Shared& shared_;
   Options options_;
-  Host host_;
+  Callbacks callbacks_;
   int fd_ = -1;
   net::Address bound_{};
-  Record self_;
+  MemberRecord self_;
   std::unique_ptr<net::Listener> listener_;
   Membership core_;
-  FleetSize size_;
-  int told_size_ = 0;
+  SmoothedFleetSize fleet_size_;
+  int reported_schedulers_ = 0;
   net::DescriptorWatch io_;
   net::Timer tick_;
   std::list<std::shared_ptr<Link>> links_;  // the oldest in front
   std::uint64_t last_link_ = 0;
-  struct Drops {
-    std::uint64_t count = 0, told = 0;
+  struct DropLog {
+    std::uint64_t count = 0, logged = 0;
     Micros last = 0;
   };
-  std::array<Drops, kDrops> drops_{};
-  std::uint64_t in_ = 0, out_ = 0, bytes_in_ = 0, bytes_out_ = 0, unsent_ = 0, twins_ = 0;
+  std::array<DropLog, kDropReasons> drop_logs_{};
+  std::uint64_t datagrams_in_ = 0, datagrams_out_ = 0, bytes_in_ = 0, bytes_out_ = 0, datagrams_unsent_ = 0,
+                duplicate_names_ = 0;
 };
 
 }  // namespace heronway::cluster
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -128,15 +128,15 @@
   o.enabled = in.Flag("enabled", o.enabled);
   const auto plain = [&in](const char* key, std::size_t most) {
     const std::string text = in.Text(key, "");
-    if (!cluster::Plain(text, most))
+    if (!cluster::IsPlainToken(text, most))
       Fault(in.Path(key),
             "is longer than " + std::to_string(most) + ", or has blanks, quotes or odd letters");
     return text;
   };
-  o.fleet = plain("fleet", cluster::kMostFleet);
+  o.fleet = plain("fleet", cluster::kMaxFleetNameBytes);
   if (o.enabled && o.fleet.empty()) Fault(in.Path("fleet"), "is missing");
-  o.name = plain("name", cluster::kMostName);
-  o.zone = plain("zone", cluster::kMostZone);
+  o.name = plain("name", cluster::kMaxNameBytes);
+  o.zone = plain("zone", cluster::kMaxZoneBytes);
   if (o.enabled || !in.Get("listen").isNull()) o.listen = in.Address("listen", nullptr);
   const bool told = !in.Get("advertise").isNull();
   o.advertise = told ? in.Address("advertise", nullptr) : o.listen;
@@ -154,20 +154,20 @@
     for (const std::string& name : in.Get(key).getMemberNames())
       out[name] = address(by_name.Path(name.c_str()), by_name.Text(name.c_str(), ""));
   };
-  ways("reach", o.reach);
-  ways("copies_reach", o.copies_reach);
+  ways("reach", o.address_overrides);
+  ways("copies_reach", o.copies_address_overrides);
   o.copies = static_cast<int>(in.Whole("copies", o.copies, 1, 7));
   if (o.copies % 2 == 0)
     Fault(in.Path("copies"), "is even: one more would cost no majority, and one less no safety");
   if (!in.Get("copies_listen").isNull()) o.copies_listen = in.Address("copies_listen", nullptr);
   if (o.copies > 1 && o.copies_listen.sin_port == 0) Fault(in.Path("copies_listen"), "is missing");
   if (o.copies > 1 && !o.enabled) Fault(in.Path("copies"), "needs " + in.Path("enabled"));
-  o.takeover = in.Millis("takeover_ms", o.takeover, 0, 3600 * kSecond);
-  if (o.takeover > 0 && o.copies == 1)
+  o.takeover_delay = in.Millis("takeover_ms", o.takeover_delay, 0, 3600 * kSecond);
+  if (o.takeover_delay > 0 && o.copies == 1)
     Fault(in.Path("takeover_ms"), "needs " + in.Path("copies") + " over 1");
-  o.period = in.Millis("period_ms", o.period, 50 * kMs, 10 * kSecond);
-  o.forget = static_cast<cluster::Micros>(
-      in.Number("forget_s", static_cast<double>(o.forget) / 1e6, 10, 30 * 86'400) * 1e6);
+  o.probe_period = in.Millis("period_ms", o.probe_period, 50 * kMs, 10 * kSecond);
+  o.forget_after = static_cast<cluster::Micros>(
+      in.Number("forget_s", static_cast<double>(o.forget_after) / 1e6, 10, 30 * 86'400) * 1e6);
   in.NoOthers();
   return o;
 }
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "pebblenotch/brain.h"
-#include "src/cluster/membership/standing.h"
+#include "src/cluster/membership/quorum_state.h"
 #include "src/core/invariants.h"
 #include "src/core/stop_times.h"
 #include "src/core/tenants.h"
@@ -117,7 +117,7 @@
 };
 // What this scheduler sees of its fleet, where the cluster is on: how much of it, and how many to count on.
 struct FleetSeen {
-  cluster::Standing standing = cluster::Standing::kWhole;
+  cluster::QuorumState standing = cluster::QuorumState::kAllPresent;
   int schedulers = 1;
 };
 struct Doubted {  // others say that it fails: worth one probe
--- a/src/durable/codec.cpp
+++ b/src/durable/codec.cpp
@@ -1,6 +1,6 @@
 #include "src/durable/codec.h"
 
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::durable {
 namespace {
@@ -20,9 +20,9 @@
   out.pack(r.retries).pack(r.key).pack(r.priority);
 }
 
-class Members : public pack::Members {
+class Members : public pack::ArrayReader {
  public:
-  using pack::Members::Members;
+  using pack::ArrayReader::ArrayReader;
   template <typename T>
   Members& Take(T& value) {
     Next().convert(value);
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -11,7 +11,7 @@
 
 #include "src/cluster/copies/links.h"
 #include "src/cluster/net/node.h"
-#include "src/cluster/news/load.h"
+#include "src/cluster/target_gossip/load_report.h"
 #include "src/fronts/console/console.h"
 #include "src/fronts/http/ingress.h"
 #include "src/fronts/http/values.h"
@@ -55,7 +55,7 @@
   std::size_t others = 0;  // descriptors
   if (faktory) others += sockets / 10;
   if (config.has_console) others += console::Console::kMostCallers + 1;
-  if (options.cluster.enabled) others += cluster::Node::kDescriptors;
+  if (options.cluster.enabled) others += cluster::Node::kMaxDescriptors;
   if (options.cluster.copies > 1) others += cluster::copies::Links::kDescriptors;
   return Budget::From(sockets, static_cast<std::size_t>(config.memory_mb) * 1024 * 1024, others);
 }
@@ -410,7 +410,7 @@
   if (std::holds_alternative<core::Drained>(effect)) driver_.WhenStored([this](bool) { drained_(); });
 }
 
-void Front::Hinted(const cluster::Hint& hint) {
+void Front::Hinted(const cluster::TargetAdvice& hint) {
   if (hint.kind == cluster::FactKind::kStarted) {
     // A start that lies ahead is nobody's sight: such a target would be cold for ever.
     if (hint.since > shared_.loop.Now() + kClocksMay) return;
@@ -456,7 +456,7 @@
 }
 
 void Front::TellFleetOf(core::TargetId target, const std::optional<pebblenotch::Report>& report) {
-  if (tell_fleet_ && report) tell_fleet_(cluster::SawLoad(target, *report));
+  if (tell_fleet_ && report) tell_fleet_(cluster::LoadObservation(target, *report));
 }
 
 void Front::Do(core::Answer& e) {
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -64,8 +64,10 @@
   void LookUpJobs(LookUpJob look_up) { look_up_job_ = std::move(look_up); }
   net::Driver& driver() { return driver_; }  // for jobs that come from another scheduler, and go there
   // The fleet's news of targets: what this front sees is told to `tell`, and others' word is looked into.
-  void TellFleet(std::function<void(const cluster::SawWorker&)> tell) { tell_fleet_ = std::move(tell); }
-  void Hinted(const cluster::Hint& hint);
+  void TellFleet(std::function<void(const cluster::TargetObservation&)> tell) {
+    tell_fleet_ = std::move(tell);
+  }
+  void Hinted(const cluster::TargetAdvice& hint);
 
   // Bounds on what a poor link, or a bad client, may hold.
   static constexpr Micros kFirstRequestTime = 2'500'000;  // from connecting, for a first request to be whole
@@ -163,7 +165,7 @@
   const config::Config& config_;
   match::Service* rules_;
   std::function<void()> drained_;
-  std::function<void(const cluster::SawWorker&)> tell_fleet_;  // null where the cluster is off
+  std::function<void(const cluster::TargetObservation&)> tell_fleet_;  // null where the cluster is off
   Budget budget_;
   discovery::RouteTable routes_;
   discovery::UnheardRestarts restarts_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -11,8 +11,8 @@
 
 #include "src/cluster/copies/copies.h"
 #include "src/cluster/copies/tool.h"
+#include "src/cluster/members_tool.h"
 #include "src/cluster/net/node.h"
-#include "src/cluster/tool.h"
 #include "src/config/config.h"
 #include "src/durable/tool.h"
 #include "src/fronts/console/calls.h"
@@ -83,12 +83,12 @@
   return std::make_unique<cluster::Node>(
       shared, options.cluster, config.name, zone < config.zones.size() ? config.zones[zone] : "", fronts,
       config.seed + 6,
-      cluster::Node::Host{[&front, second](cluster::Standing standing, int schedulers) {
-                            front.FleetSeen({standing, schedulers});
-                            if (second != nullptr) second->FleetSeen({standing, schedulers});
-                          },
-                          [&front](const cluster::Hint& hint) { front.Hinted(hint); },
-                          (config.module.settings.nodes + 1) / 2});
+      cluster::Node::Callbacks{[&front, second](cluster::QuorumState standing, int schedulers) {
+                                 front.FleetSeen({standing, schedulers});
+                                 if (second != nullptr) second->FleetSeen({standing, schedulers});
+                               },
+                               [&front](const cluster::TargetAdvice& hint) { front.Hinted(hint); },
+                               (config.module.settings.nodes + 1) / 2});
 }
 
 // Whether `join` names another than this member itself.
@@ -105,8 +105,8 @@
   const cluster::Options& o = options.cluster;
   auto copies = std::make_unique<cluster::copies::Copies>(
       shared, cluster::copies::Copies::Settings{o.fleet, o.name.empty() ? config.name : o.name, o.copies,
-                                                o.copies_listen, o.copies_reach, o.takeover, ExpectsOthers(o),
-                                                options.durable.folder, config.seed + 8});
+                                                o.copies_listen, o.copies_address_overrides, o.takeover_delay,
+                                                ExpectsOthers(o), options.durable.folder, config.seed + 8});
   options.durable.copied = [c = copies.get()](const std::string& front,
                                               std::unique_ptr<durable::SqliteStore> store) {
     return c->Lead(front, std::move(store));
@@ -117,8 +117,8 @@
 // The newest life of each name, one that is there before others.
 std::vector<cluster::copies::Seen> SeenBy(const cluster::Node& node) {
   std::map<std::string, cluster::copies::Seen> by_name;
-  for (const cluster::View& v : node.core().Members()) {
-    const bool here = v.record.state <= cluster::State::kSuspect;
+  for (const cluster::MemberView& v : node.core().Members()) {
+    const bool here = v.record.state <= cluster::MemberState::kSuspect;
     cluster::copies::Seen& seen = by_name[v.record.id.name];
     if (!here && !seen.name.empty() && seen.gone_since < 0) continue;
     seen.name = v.record.id.name;
@@ -245,8 +245,8 @@
       copies->Watch([&member] { return member ? SeenBy(*member) : std::vector<cluster::copies::Seen>{}; });
       ServeCopies(*copies, front, second.get());
     }
-    front.TellFleet([&member](const cluster::SawWorker& saw) {
-      if (member) member->SawWorker(saw);
+    front.TellFleet([&member](const cluster::TargetObservation& saw) {
+      if (member) member->Observe(saw);
     });
   }
   std::unique_ptr<console::Console> desk;
@@ -254,7 +254,7 @@
     const console::Operations operations{[&] { return front.Ready(); },
                                          [&](bool on) { front.Cordon(on); },
                                          [&] {
-                                           FleetFigures figures = member ? member->Figures() : FleetFigures{};
+                                           FleetFigures figures = member ? member->Metrics() : FleetFigures{};
                                            if (copies) {
                                              for (auto& figure : copies->Figures()) figures.push_back(figure);
                                            }
@@ -268,7 +268,7 @@
                                                                    front.invariants(),
                                                                    figures};
                                          },
-                                         member ? [&] { return cluster::StandingBody(*member); } : Text{},
+                                         member ? [&] { return cluster::ClusterBody(*member); } : Text{},
                                          member ? [&] { return cluster::MembersBody(*member); } : Text{},
                                          [&] { member->Leave(); },
                                          copies ? [&] { return copies->Body(); } : Text{}};
--- a/tests/cluster/codec_test.cpp
+++ b/tests/cluster/codec_test.cpp
@@ -6,7 +6,7 @@
 #include <pcg_random.hpp>
 
 #include "src/cluster/membership/gossip.h"
-#include "src/cluster/news/news.h"
+#include "src/cluster/target_gossip/target_gossip.h"
 
 namespace heronway::cluster {
 namespace {
@@ -16,23 +16,24 @@
   m.kind = static_cast<MessageKind>(kind);
   m.number = 77;
   m.from.id = {"a", 12};
-  m.from.at = {0x7f000001, 7946};
+  m.from.endpoint = {0x7f000001, 7946};
   m.from.zone = "bangna";
   m.from.fronts = "http=127.0.0.1:8080";
   m.digest = ~std::uint64_t{0};
   m.target = {"b", 13};
   m.target_at = {0x7f000002, 7946};
   Update u{m.from, "b", 5};
-  u.record.state = State::kSuspect;
-  u.record.incarnation = kMostIncarnation;
+  u.record.state = MemberState::kSuspect;
+  u.record.incarnation = kMaxIncarnation;
   m.updates.assign(3, u);
   m.facts.assign(2, Fact{~std::uint64_t{0}, FactKind::kStarted, 1'796'167'234'691'250, ~std::uint64_t{0}, 5});
   return m;
 }
 
-Drop Why(std::string_view bytes, std::size_t most = 1400) {
+DropReason Why(std::string_view bytes, std::size_t most = 1400) {
   const auto result = Decode("f", bytes, most);
-  return std::holds_alternative<Drop>(result) ? std::get<Drop>(result) : static_cast<Drop>(99);
+  return std::holds_alternative<DropReason>(result) ? std::get<DropReason>(result)
+                                                    : static_cast<DropReason>(99);
 }
 
 TEST(ClusterCodec, EveryKindComesBackWhole) {
@@ -46,20 +47,20 @@
 
 TEST(ClusterCodec, WhatIsNotForThisFleetIsToldByReason) {
   const std::string bytes = Encode("g", Sample(0));
-  EXPECT_EQ(Why(bytes), Drop::kForeign) << "another fleet";
-  EXPECT_EQ(Why("GET / HTTP/1.1\r\n\r\n"), Drop::kForeign);
-  EXPECT_EQ(Why(""), Drop::kMalformed);
-  EXPECT_EQ(Why(std::string(1401, 'x')), Drop::kOversized);
+  EXPECT_EQ(Why(bytes), DropReason::kForeign) << "another fleet";
+  EXPECT_EQ(Why("GET / HTTP/1.1\r\n\r\n"), DropReason::kForeign);
+  EXPECT_EQ(Why(""), DropReason::kMalformed);
+  EXPECT_EQ(Why(std::string(1401, 'x')), DropReason::kOversized);
   std::string newer = Encode("f", Sample(0));
-  ASSERT_EQ(newer[5], kProtocol);  // behind the array's head and the mark
-  newer[5] = kProtocol + 1;
-  EXPECT_EQ(Why(newer), Drop::kNewer);
+  ASSERT_EQ(newer[5], kProtocolVersion);  // behind the array's head and the mark
+  newer[5] = kProtocolVersion + 1;
+  EXPECT_EQ(Why(newer), DropReason::kNewer);
 }
 
 TEST(ClusterCodec, CutAndChangedBytesAreNeverTakenForMore) {
   const std::string whole = Encode("f", Sample(0));
   for (std::size_t n = 0; n < whole.size(); ++n)
-    EXPECT_NE(Why(whole.substr(0, n)), static_cast<Drop>(99)) << n;
+    EXPECT_NE(Why(whole.substr(0, n)), static_cast<DropReason>(99)) << n;
   pcg32 random(5);
   for (int n = 0; n < 20'000; ++n) {
     std::string bytes = whole;
@@ -67,8 +68,8 @@
       bytes[random(static_cast<std::uint32_t>(bytes.size()))] = static_cast<char>(random());
     const auto result = Decode("f", bytes, 1400);  // the sanitizers judge
     if (const Message* m = std::get_if<Message>(&result)) {
-      EXPECT_LE(m->from.id.life, kMostLife);
-      for (const Update& u : m->updates) EXPECT_LE(u.record.incarnation, kMostIncarnation);
+      EXPECT_LE(m->from.id.boot_id, kMaxBootId);
+      for (const Update& u : m->updates) EXPECT_LE(u.record.incarnation, kMaxIncarnation);
     }
   }
 }
@@ -76,30 +77,30 @@
 TEST(ClusterCodec, TextsThatWouldSpoilALogAreRefused) {
   Message m = Sample(0);
   m.from.id.name = "a\nb";
-  EXPECT_EQ(Why(Encode("f", m)), Drop::kMalformed);
+  EXPECT_EQ(Why(Encode("f", m)), DropReason::kMalformed);
   m.from.id.name = "";
-  EXPECT_EQ(Why(Encode("f", m)), Drop::kMalformed);
-  m.from.id.name = std::string(kMostName + 1, 'a');
-  EXPECT_EQ(Why(Encode("f", m)), Drop::kMalformed);
+  EXPECT_EQ(Why(Encode("f", m)), DropReason::kMalformed);
+  m.from.id.name = std::string(kMaxNameBytes + 1, 'a');
+  EXPECT_EQ(Why(Encode("f", m)), DropReason::kMalformed);
 }
 
 // What a datagram is planned with is never less than what it takes.
 TEST(Gossip, SizesAreUpperBounds) {
   Message m = Sample(0);
-  m.from.id.life = kMostLife;
+  m.from.id.boot_id = kMaxBootId;
   m.updates.clear();
   const std::size_t empty = Encode("f", m).size();
   Update u{m.from, "accuser", 1LL << 55};
-  u.record.incarnation = kMostIncarnation;
+  u.record.incarnation = kMaxIncarnation;
   m.updates.push_back(u);
   EXPECT_LE(Encode("f", m).size() - empty, Gossip::SizeOf(u));
 }
 
-TEST(News, FactsTakeNoMoreThanIsPlanned) {
+TEST(TargetGossip, FactsTakeNoMoreThanIsPlanned) {
   Message m = Sample(0);
   const std::size_t two = Encode("f", m).size();
   m.facts.resize(12, Fact{~std::uint64_t{0}, FactKind::kStarted, 1LL << 59, ~std::uint64_t{0}, 1LL << 39});
-  EXPECT_LE(Encode("f", m).size() - two, 10 * News::kFactBytes);
+  EXPECT_LE(Encode("f", m).size() - two, 10 * TargetGossip::kMaxFactBytes);
 }
 
 TEST(Gossip, EachIsSentSoOftenAndTheLeastSentFirst) {
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -14,8 +14,8 @@
 struct Fleet : World {
   explicit Fleet(int members, std::uint64_t seed = 1) : Fleet(Of(members, seed)) {}
   explicit Fleet(const Options& options) : World(options) {
-    changed = [this](int, const Changed& c) {
-      if (c.record.state == State::kDead) ++dead[c.record.id.name];
+    on_member_changed = [this](int, const MemberChanged& c) {
+      if (c.record.state == MemberState::kDead) ++dead[c.record.id.name];
     };
     for (int i = 0; i < size(); ++i) Start(i);
     For(10 + size() / 10);
@@ -37,13 +37,13 @@
   std::map<std::string, int> dead;  // verdicts, in all views
 };
 
-Message Forged(Fleet& fleet, int about, State state, std::uint32_t incarnation, Life life_more = 0) {
+Message Forged(Fleet& fleet, int about, MemberState state, std::uint32_t incarnation, BootId life_more = 0) {
   Message m;
   m.from = fleet.node(1).core->self();
-  Record r = fleet.node(about).core->self();
+  MemberRecord r = fleet.node(about).core->self();
   r.state = state;
   r.incarnation = incarnation;
-  r.id.life += life_more;
+  r.id.boot_id += life_more;
   m.updates.push_back(Update{r, "s1", 0});
   return m;
 }
@@ -52,7 +52,7 @@
   Fleet fleet(10);
   fleet.Kill(3);
   fleet.For(5);
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(i == 3 || fleet.Seen(i, 3) == State::kDead);
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(i == 3 || fleet.StateInView(i, 3) == MemberState::kDead);
   EXPECT_EQ(fleet.dead.size(), 1u);
   fleet.Start(3);
   fleet.For(3);
@@ -61,16 +61,16 @@
 
 TEST(Membership, OneThatLeavesIsNotOneThatFails) {
   Fleet fleet(5);
-  std::vector<Standing> told;
-  fleet.standing = [&](int, const StandingChanged& s) { told.push_back(s.standing); };
+  std::vector<QuorumState> told;
+  fleet.on_quorum_state_changed = [&](int, const QuorumStateChanged& s) { told.push_back(s.quorum_state); };
   fleet.Leave(2);
   fleet.For(1.2);
-  for (int i : {0, 1, 3, 4}) EXPECT_EQ(fleet.Seen(i, 2), State::kLeft);
+  for (int i : {0, 1, 3, 4}) EXPECT_EQ(fleet.StateInView(i, 2), MemberState::kLeft);
   const std::uint64_t sent = fleet.node(2).datagrams;
   Message ping;
   ping.kind = MessageKind::kPing;
   ping.from = fleet.node(0).core->self();
-  fleet.Give(2, ping);
+  fleet.Deliver(2, ping);
   fleet.For(10);
   EXPECT_EQ(fleet.node(2).datagrams, sent) << "nothing after its goodbye";
   fleet.Kill(2);
@@ -83,7 +83,7 @@
 TEST(Membership, AMemberThatStoodStillAccusesNobody) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Fleet fleet(6, seed);
-    fleet.Stop(1, fleet.now() + 10 * kSecond);
+    fleet.Pause(1, fleet.now() + 10 * kSecond);
     fleet.For(12);
     const std::set<std::string> only{"s1"};
     for (const auto& [name, n] : fleet.dead) EXPECT_TRUE(only.contains(name)) << name << " seed " << seed;
@@ -98,11 +98,11 @@
 // It held a suspicion when it was stopped; the refutation went by.
 TEST(Membership, ASuspicionIsGivenItsTimeAgainAfterAStandstill) {
   Fleet fleet(6);
-  Message m = Forged(fleet, 0, State::kSuspect, 0);
+  Message m = Forged(fleet, 0, MemberState::kSuspect, 0);
   m.from = fleet.node(3).core->self();
-  fleet.Give(1, m);
-  ASSERT_EQ(fleet.Seen(1, 0), State::kSuspect);
-  fleet.Stop(1, fleet.now() + 20 * kSecond);
+  fleet.Deliver(1, m);
+  ASSERT_EQ(fleet.StateInView(1, 0), MemberState::kSuspect);
+  fleet.Pause(1, fleet.now() + 20 * kSecond);
   fleet.For(30);
   EXPECT_EQ(fleet.node(1).core->counters().verdicts, 0u);
   EXPECT_TRUE(fleet.Whole());
@@ -112,7 +112,7 @@
 TEST(Membership, EachIsProbedInTwoRounds) {
   Fleet fleet(12);
   std::map<std::pair<int, int>, int> probed;
-  fleet.on_the_way = [&](int from, int to, Message& m) {
+  fleet.intercept = [&](int from, int to, Message& m) {
     if (m.kind == MessageKind::kPing) ++probed[{from, to}];
     return true;
   };
@@ -130,19 +130,19 @@
 
 void Heals(int members, int parts, double cut_s, Micros forget, double within) {
   World::Options options = Fleet::Of(members, 7);
-  options.forget = forget;
+  options.forget_after = forget;
   Fleet fleet(options);
   // Two that overlap where there are four parts: 0|123 and 01|23 together.
   fleet.link = [=](int a, int b) { return a * parts / members == b * parts / members; };
   fleet.For(cut_s);
   if (cut_s >= 10) {
-    EXPECT_FALSE(fleet.Sees(0, members - 1));
-    EXPECT_NE(fleet.node(members - 1).core->standing(), Standing::kWhole);
+    EXPECT_FALSE(fleet.IsPresentInView(0, members - 1));
+    EXPECT_NE(fleet.node(members - 1).core->quorum_state(), QuorumState::kAllPresent);
   }
   fleet.link = [](int, int) { return true; };
   fleet.For(within);
   EXPECT_TRUE(fleet.Whole()) << parts << " parts for " << cut_s << " s";
-  for (int i = 0; i < members; ++i) EXPECT_EQ(fleet.node(i).core->standing(), Standing::kWhole);
+  for (int i = 0; i < members; ++i) EXPECT_EQ(fleet.node(i).core->quorum_state(), QuorumState::kAllPresent);
 }
 
 TEST(Membership, CutsHealWithoutAnOperator) {
@@ -155,7 +155,7 @@
 // Both sides have forgotten each other: `join` brings them together again.
 TEST(Membership, ACutLongerThanForgetHeals) {
   World::Options options = Fleet::Of(9, 7);
-  options.forget = 20 * kSecond;
+  options.forget_after = 20 * kSecond;
   Fleet fleet(options);
   fleet.link = [](int a, int b) { return (a < 4) == (b < 4); };
   fleet.For(60);
@@ -169,11 +169,11 @@
   Fleet fleet(5);
   fleet.link = [](int a, int b) { return (a < 2) == (b < 2); };
   fleet.For(15);
-  EXPECT_EQ(fleet.node(0).core->standing(), Standing::kMinority);
-  EXPECT_EQ(fleet.node(4).core->standing(), Standing::kMajority);
+  EXPECT_EQ(fleet.node(0).core->quorum_state(), QuorumState::kMinority);
+  EXPECT_EQ(fleet.node(4).core->quorum_state(), QuorumState::kMajority);
   fleet.link = [](int a, int b) { return a == b; };
   fleet.For(15);
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.node(i).core->standing(), Standing::kAlone);
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.node(i).core->quorum_state(), QuorumState::kIsolated);
 }
 
 TEST(Membership, TenRestartsInTenSeconds) {
@@ -186,7 +186,7 @@
   }
   fleet.For(10);
   EXPECT_TRUE(fleet.Whole());
-  for (const View& v : fleet.node(0).core->Members()) {
+  for (const MemberView& v : fleet.node(0).core->Members()) {
     if (v.record.id.name == "s4") {
       EXPECT_EQ(v.record.id, fleet.node(4).core->self().id) << "one life only";
     }
@@ -196,18 +196,18 @@
 // The machine's clock was an hour ahead before the restart: its life would be an older one.
 TEST(Membership, AClockThatSteppedBackMakesNoOlderLife) {
   Fleet fleet(5);
-  fleet.node(2).clock_off = 3600 * kSecond;
+  fleet.node(2).clock_offset = 3600 * kSecond;
   fleet.Kill(2);
   fleet.For(5);
   fleet.Start(2);
   fleet.For(5);
-  const Life ahead = fleet.node(2).core->self().id.life;
+  const BootId ahead = fleet.node(2).core->self().id.boot_id;
   fleet.Kill(2);
   fleet.For(5);
-  fleet.node(2).clock_off = 0;
+  fleet.node(2).clock_offset = 0;
   fleet.Start(2);
   fleet.For(10);
-  EXPECT_GT(fleet.node(2).core->self().id.life, ahead);
+  EXPECT_GT(fleet.node(2).core->self().id.boot_id, ahead);
   EXPECT_TRUE(fleet.Whole());
 }
 
@@ -215,7 +215,7 @@
 TEST(Membership, TwoThatServeUnderOneNameAreTold) {
   Fleet fleet(4);
   int told = 0;
-  fleet.twins = [&](int, const Twins& t) { told += t.name == "s1"; };
+  fleet.on_duplicate_name = [&](int, const DuplicateName& t) { told += t.name == "s1"; };
   fleet.Kill(3);
   fleet.node(3).self.id.name = "s1";  // another process, another address
   fleet.Start(3);
@@ -231,7 +231,7 @@
   told = 0;
   fleet.For(120);
   EXPECT_EQ(told, 0);
-  EXPECT_EQ(fleet.Seen(0, 1), State::kAlive) << "the younger life stands for the name";
+  EXPECT_EQ(fleet.StateInView(0, 1), MemberState::kAlive) << "the younger life stands for the name";
 }
 
 TEST(Membership, ARollingRestartOfAllIsSeenAsSuch) {
@@ -254,17 +254,18 @@
   fleet.Start(0, {0, 2});  // its own, and one that is down
   fleet.Start(1, {3});
   fleet.RunUntil(fleet.now() + 20 * kSecond);
-  EXPECT_EQ(fleet.node(0).core->standing(), Standing::kAlone);
-  EXPECT_EQ(fleet.node(1).core->standing(), Standing::kAlone);
+  EXPECT_EQ(fleet.node(0).core->quorum_state(), QuorumState::kIsolated);
+  EXPECT_EQ(fleet.node(1).core->quorum_state(), QuorumState::kIsolated);
   fleet.Start(3, {0});
   fleet.Start(2, {0});
   fleet.RunUntil(fleet.now() + 15 * kSecond);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(fleet.node(i).core->fleet_size(), 4);
   World::Options relayed = Fleet::Of(1, 3);
   relayed.join_port = 9;  // another way to its own address
-  EXPECT_EQ(Fleet(relayed).node(0).core->standing(), Standing::kWhole);
+  EXPECT_EQ(Fleet(relayed).node(0).core->quorum_state(), QuorumState::kAllPresent);
   Fleet only(Fleet::Of(1, 3));
-  EXPECT_EQ(only.node(0).core->standing(), Standing::kWhole) << "its own address is no other member";
+  EXPECT_EQ(only.node(0).core->quorum_state(), QuorumState::kAllPresent)
+      << "its own address is no other member";
 }
 
 TEST(Membership, JoinDuringACut) {
@@ -275,8 +276,8 @@
   fleet.For(8);
   fleet.Start(5, {0, 4});  // on the far side of one of them
   fleet.For(8);
-  EXPECT_TRUE(fleet.Sees(5, 4));
-  EXPECT_FALSE(fleet.Sees(0, 5));
+  EXPECT_TRUE(fleet.IsPresentInView(5, 4));
+  EXPECT_FALSE(fleet.IsPresentInView(0, 5));
   fleet.link = [](int, int) { return true; };
   fleet.For(15);
   EXPECT_TRUE(fleet.Whole());
@@ -289,20 +290,20 @@
       Fleet fleet(3);
       int n = 0;
       std::vector<std::pair<int, Message>> held;
-      fleet.on_the_way = [&](int, int to, Message& m) {
+      fleet.intercept = [&](int, int to, Message& m) {
         if (n++ != position) return true;
         held.emplace_back(to, m);
         return false;
       };
       fleet.Kill(2);
       fleet.For(9);
-      EXPECT_EQ(fleet.Seen(0, 2), State::kDead) << position;
-      EXPECT_EQ(fleet.Seen(1, 2), State::kDead) << position;
-      EXPECT_TRUE(fleet.Sees(0, 1) && fleet.Sees(1, 0)) << position;
+      EXPECT_EQ(fleet.StateInView(0, 2), MemberState::kDead) << position;
+      EXPECT_EQ(fleet.StateInView(1, 2), MemberState::kDead) << position;
+      EXPECT_TRUE(fleet.IsPresentInView(0, 1) && fleet.IsPresentInView(1, 0)) << position;
       fleet.Start(2);
       fleet.For(60);
       for (auto& [to, message] : held) {
-        if (late) fleet.Give(to, message);
+        if (late) fleet.Deliver(to, message);
       }
       fleet.For(5);
       EXPECT_TRUE(fleet.Whole()) << position;
@@ -312,13 +313,13 @@
 
 TEST(Membership, LossDelayAndCopiesMakeNoVerdict) {
   World::Options options = Fleet::Of(30, 5);
-  options.loss = 0.05;
-  options.twice = 0.2;
-  options.most_delay = 60'000;
+  options.loss_rate = 0.05;
+  options.duplicate_rate = 0.2;
+  options.max_delay = 60'000;
   Fleet fleet(options);
   for (int n = 0; n < 240; ++n) {
     if (n % 6 == 0) {
-      for (int i = 0; i < 30; i += 10) fleet.Stop(i, fleet.now() + 240'000);
+      for (int i = 0; i < 30; i += 10) fleet.Pause(i, fleet.now() + 240'000);
     }
     fleet.For(0.5);
   }
@@ -328,17 +329,17 @@
 // Incarnations that wrap, and lives and incarnations that are forged: a living member is not dead for good.
 TEST(Membership, ForgedIncarnationsAndLivesAreRefuted) {
   Fleet fleet(5);
-  fleet.Give(0, Forged(fleet, 2, State::kDead, kMostIncarnation));
+  fleet.Deliver(0, Forged(fleet, 2, MemberState::kDead, kMaxIncarnation));
   fleet.For(10);
   EXPECT_TRUE(fleet.Whole()) << "the highest incarnation";
-  fleet.Give(0, Forged(fleet, 2, State::kLeft, 100));
+  fleet.Deliver(0, Forged(fleet, 2, MemberState::kLeft, 100));
   fleet.For(10);
   EXPECT_TRUE(fleet.Whole()) << "a goodbye that it never said";
-  fleet.Give(0, Forged(fleet, 2, State::kAlive, 7, 1'000'000));
+  fleet.Deliver(0, Forged(fleet, 2, MemberState::kAlive, 7, 1'000'000));
   fleet.For(10);
   EXPECT_TRUE(fleet.Whole()) << "a later life";
   const std::size_t known = fleet.node(0).core->Members().size();
-  fleet.Give(0, Forged(fleet, 2, State::kAlive, 0, kMostLife));
+  fleet.Deliver(0, Forged(fleet, 2, MemberState::kAlive, 0, kMaxBootId));
   EXPECT_EQ(fleet.node(0).core->Members().size(), known);
   EXPECT_EQ(fleet.node(0).core->Find("s2")->record.id, fleet.node(2).core->self().id) << "out of bounds";
 }
@@ -348,23 +349,23 @@
   for (int i = 30; i < 60; ++i) fleet.Kill(i);
   fleet.For(25);
   for (int i = 0; i < 30; ++i) EXPECT_EQ(fleet.node(i).core->fleet_size(), 30);
-  for (int i = 0; i < 30; ++i) EXPECT_EQ(fleet.node(i).core->standing(), Standing::kMinority);
+  for (int i = 0; i < 30; ++i) EXPECT_EQ(fleet.node(i).core->quorum_state(), QuorumState::kMinority);
   for (const auto& [name, n] : fleet.dead) EXPECT_GE(std::stoi(name.substr(1)), 30) << "a living one";
 }
 
 TEST(Membership, WordOfTheDeadIsForgotten) {
   World::Options options = Fleet::Of(5, 2);
-  options.forget = 30 * kSecond;
+  options.forget_after = 30 * kSecond;
   Fleet fleet(options);
   fleet.Kill(4);
   fleet.For(20);
   EXPECT_EQ(fleet.node(0).core->Members().size(), 5u);
   fleet.For(60);  // exchanges meanwhile must not hand it round for ever
   for (int i = 0; i < 4; ++i) EXPECT_EQ(fleet.node(i).core->Members().size(), 4u);
-  Message late = Forged(fleet, 3, State::kDead, 0);
+  Message late = Forged(fleet, 3, MemberState::kDead, 0);
   late.updates[0].record.id = {"s4", 7};
-  late.updates[0].record.at.port = 9;
-  fleet.Give(0, late);
+  late.updates[0].record.endpoint.port = 9;
+  fleet.Deliver(0, late);
   EXPECT_EQ(fleet.node(0).core->Members().size(), 4u) << "a datagram that comes hours late";
 }
 
@@ -385,40 +386,41 @@
 // incarnation or life.
 TEST(Membership, VerdictsNeverGoBack) {
   struct Step {
-    State state;
+    MemberState state;
     std::uint32_t incarnation;
-    Life life;
+    BootId boot_id;
   };
   std::vector<Step> steps;
-  for (const State s : {State::kAlive, State::kSuspect, State::kDead, State::kLeft}) {
+  for (const MemberState s :
+       {MemberState::kAlive, MemberState::kSuspect, MemberState::kDead, MemberState::kLeft}) {
     for (std::uint32_t i : {0U, 1U}) {
-      for (Life l : {10U, 11U}) steps.push_back({s, i, l});
+      for (BootId l : {10U, 11U}) steps.push_back({s, i, l});
     }
   }
   long histories = 0;
-  const auto of = [](std::string name, std::uint32_t ip, Life life) {
-    Record r;
-    r.id = {std::move(name), life};
-    r.at = {ip, 1};
+  const auto of = [](std::string name, std::uint32_t ip, BootId boot_id) {
+    MemberRecord r;
+    r.id = {std::move(name), boot_id};
+    r.endpoint = {ip, 1};
     return r;
   };
   for (std::size_t h = 0; h < steps.size() * steps.size() * steps.size() * steps.size(); ++h, ++histories) {
     Membership core({}, of("me", 1, 5), 1, 0);
-    std::tuple<Life, std::uint32_t, State> best{0, 0, State::kAlive};
+    std::tuple<BootId, std::uint32_t, MemberState> best{0, 0, MemberState::kAlive};
     std::size_t rest = h;
     for (int n = 0; n < 4; ++n, rest /= steps.size()) {
       const Step& s = steps[rest % steps.size()];
       Message m;
       m.from = of("other", 2, 5);
-      Record r = of("third", 3, s.life);
+      MemberRecord r = of("third", 3, s.boot_id);
       r.state = s.state;
       r.incarnation = s.incarnation;
       m.updates.push_back(Update{r, "other", 0});
       std::vector<Effect> effects;
       core.Handle(n, Received{m}, effects);
-      const View* v = core.Find("third");
+      const MemberView* v = core.Find("third");
       if (v == nullptr) continue;
-      const std::tuple now{v->record.id.life, v->record.incarnation, v->record.state};
+      const std::tuple now{v->record.id.boot_id, v->record.incarnation, v->record.state};
       ASSERT_GE(now, best);
       best = now;
     }
@@ -436,12 +438,12 @@
     bool both = false, one_way = false;
     fleet.link = [&](int a, int b) { return !(both && a + b == 1) && !(one_way && a == 0 && b == 2); };
     std::map<std::pair<int, MemberId>, std::pair<std::uint64_t, std::uint32_t>> given_up;
-    fleet.changed = [&](int i, const Changed& c) {
+    fleet.on_member_changed = [&](int i, const MemberChanged& c) {
       const std::uint64_t run = fleet.node(i).run;
       const auto key = std::pair(i, c.record.id);
-      if (c.record.state == State::kDead) given_up[key] = {run, c.record.incarnation};
+      if (c.record.state == MemberState::kDead) given_up[key] = {run, c.record.incarnation};
       const auto it = given_up.find(key);
-      if (c.record.state > State::kSuspect || it == given_up.end() || it->second.first != run) return;
+      if (c.record.state > MemberState::kSuspect || it == given_up.end() || it->second.first != run) return;
       EXPECT_GT(c.record.incarnation, it->second.second) << "history " << h;
     };
     int rest = h;
@@ -457,7 +459,7 @@
           fleet.node(1).up ? fleet.Kill(1) : fleet.Start(1);
           break;
         case 3:
-          fleet.Stop(2, fleet.now() + 2 * kSecond);
+          fleet.Pause(2, fleet.now() + 2 * kSecond);
           break;
         default:
           fleet.For(4);
@@ -472,32 +474,32 @@
   EXPECT_EQ(histories, 3125);
 }
 
-TEST(Standing, OneLostDatagramChangesNothing) {
-  StandingWatch watch(1'000'000, 2'000'000);
-  EXPECT_FALSE(watch.Look(0, Standing::kWhole));
-  EXPECT_TRUE(watch.Look(2'000'000, Standing::kWhole));
-  EXPECT_FALSE(watch.Look(3'000'000, Standing::kMajority));
-  EXPECT_FALSE(watch.Look(3'500'000, Standing::kWhole));
-  EXPECT_FALSE(watch.Look(4'000'000, Standing::kMinority));
-  EXPECT_TRUE(watch.Look(5'000'000, Standing::kMinority));
+TEST(QuorumState, OneLostDatagramChangesNothing) {
+  QuorumStateFilter watch(1'000'000, 2'000'000);
+  EXPECT_FALSE(watch.Observe(0, QuorumState::kAllPresent));
+  EXPECT_TRUE(watch.Observe(2'000'000, QuorumState::kAllPresent));
+  EXPECT_FALSE(watch.Observe(3'000'000, QuorumState::kMajority));
+  EXPECT_FALSE(watch.Observe(3'500'000, QuorumState::kAllPresent));
+  EXPECT_FALSE(watch.Observe(4'000'000, QuorumState::kMinority));
+  EXPECT_TRUE(watch.Observe(5'000'000, QuorumState::kMinority));
 }
 
-TEST(Standing, JudgedAgainstWhoIsKnown) {
-  EXPECT_EQ(Judge(1, 1, false), Standing::kWhole);
-  EXPECT_EQ(Judge(1, 1, true), Standing::kAlone);
-  EXPECT_EQ(Judge(3, 1, false), Standing::kAlone);
-  EXPECT_EQ(Judge(4, 2, false), Standing::kMinority);
-  EXPECT_EQ(Judge(5, 3, false), Standing::kMajority);
+TEST(QuorumState, JudgedAgainstWhoIsKnown) {
+  EXPECT_EQ(EvaluateQuorum(1, 1, false), QuorumState::kAllPresent);
+  EXPECT_EQ(EvaluateQuorum(1, 1, true), QuorumState::kIsolated);
+  EXPECT_EQ(EvaluateQuorum(3, 1, false), QuorumState::kIsolated);
+  EXPECT_EQ(EvaluateQuorum(4, 2, false), QuorumState::kMinority);
+  EXPECT_EQ(EvaluateQuorum(5, 3, false), QuorumState::kMajority);
 }
 
 // A mass death must not let the survivors triple what each sends to cold workers; growth counts at once.
-TEST(FleetSize, FallsSlowlyAndGrowsAtOnce) {
-  FleetSize size(3, 30'000'000);
-  EXPECT_EQ(size.Look(0, 90), 90);
-  for (int s = 1; s <= 8; ++s) EXPECT_GE(size.Look(s * 1'000'000, 20), 74) << "within a warm-up";
-  EXPECT_EQ(size.Look(9'000'000, 90), 90);
+TEST(SmoothedFleetSize, FallsSlowlyAndGrowsAtOnce) {
+  SmoothedFleetSize size(3, 30'000'000);
+  EXPECT_EQ(size.Observe(0, 90), 90);
+  for (int s = 1; s <= 8; ++s) EXPECT_GE(size.Observe(s * 1'000'000, 20), 74) << "within a warm-up";
+  EXPECT_EQ(size.Observe(9'000'000, 90), 90);
   Micros now = 9'000'000;
-  for (int s = 0; s < 300; ++s) size.Look(now += 1'000'000, 1);
+  for (int s = 0; s < 300; ++s) size.Observe(now += 1'000'000, 1);
   EXPECT_EQ(size.size(), 3) << "the floor";
 }
 
--- a/tests/cluster/node_test.cpp
+++ b/tests/cluster/node_test.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 // Ports of an address that are taken for connections alone, as any process's may be at any moment.
-class Taken {
+class OccupiedPorts {
  public:
-  Taken(const net::Address& host, int count) {
+  OccupiedPorts(const net::Address& callbacks, int count) {
     for (int n = 0; n < count; ++n) {
       const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-      if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&host), sizeof host) != 0) {
+      if (fd < 0 || bind(fd, reinterpret_cast<const sockaddr*>(&callbacks), sizeof callbacks) != 0) {
         if (fd >= 0) close(fd);
         return;
       }
       fds_.push_back(fd);
     }
   }
-  ~Taken() {
+  ~OccupiedPorts() {
     for (const int fd : fds_) close(fd);
   }
   std::size_t count() const { return fds_.size(); }
@@ -39,10 +39,10 @@
   options.enabled = true;
   options.fleet = "f";
   options.listen = options.advertise = *net::ParseAddress("127.61.7.3:0");
-  const Taken taken(options.listen, 900);
+  const OccupiedPorts taken(options.listen, 900);
   ASSERT_GT(taken.count(), 700u);
   for (int n = 0; n < 400; ++n) {
-    Node node(shared, options, "s", "", "", 1, Node::Host{});
+    Node node(shared, options, "s", "", "", 1, Node::Callbacks{});
     EXPECT_NE(node.address().sin_port, 0);
   }
 }
@@ -55,10 +55,10 @@
   options.enabled = true;
   options.fleet = "f";
   options.listen = options.advertise = *net::ParseAddress("127.61.7.4:0");
-  const Node first(shared, options, "s", "", "", 1, Node::Host{});
+  const Node first(shared, options, "s", "", "", 1, Node::Callbacks{});
   options.listen = options.advertise = first.address();
   try {
-    Node second(shared, options, "t", "", "", 2, Node::Host{});
+    Node second(shared, options, "t", "", "", 2, Node::Callbacks{});
     FAIL() << "both listen at one address";
   } catch (const std::runtime_error& e) {
     EXPECT_EQ(std::string(e.what()).rfind("cluster.listen: cannot listen at 127.61.7.4:", 0), 0u) << e.what();
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -498,7 +498,7 @@
     core::RoutesChanged routes{core::ListKind::kCached, std::vector<pebblenotch::WorkerEntry>(1)};
     routes.entries[0].id = 1;
     reducer.Reduce(1'000'000, routes, effects);
-    reducer.Reduce(1'000'000, core::FleetSeen{cluster::Standing::kMinority, schedulers}, effects);
+    reducer.Reduce(1'000'000, core::FleetSeen{cluster::QuorumState::kMinority, schedulers}, effects);
     core::ProbeEnded probe;  // full, so that all are held
     probe.target = 1;
     probe.report = core::Report{};
--- a/tests/fuzz/cluster_fuzz.cpp
+++ b/tests/fuzz/cluster_fuzz.cpp
@@ -14,20 +14,20 @@
   const std::string once = Encode("f", *m);
   const auto again = Decode("f", once, 1 << 20);
   if (!std::holds_alternative<Message>(again) || Encode("f", std::get<Message>(again)) != once) std::abort();
-  Record self;
+  MemberRecord self;
   self.id = {"a", 10};
-  self.at = {0x7f000001, 7946};
+  self.endpoint = {0x7f000001, 7946};
   Membership core({}, self, 1, 0);
   std::vector<Effect> effects;
   core.Handle(1, Tick{}, effects);
   core.Handle(2, Received{*m}, effects);
-  core.Handle(3, ExchangeGot{1ULL << 63, *m}, effects);
+  core.Handle(3, ExchangeReceived{1ULL << 63, *m}, effects);
   for (Micros now = 100'000; now < 4'000'000; now += 100'000) core.Handle(now, Tick{}, effects);
-  if (core.self().id.name != "a" || core.self().state != State::kAlive || core.self().id.life < 10)
+  if (core.self().id.name != "a" || core.self().state != MemberState::kAlive || core.self().id.boot_id < 10)
     std::abort();
   for (const Effect& e : effects) {
     const auto* send = std::get_if<SendDatagram>(&e);
-    if (send != nullptr && Encode("f", send->message).size() > Membership::kMostDatagram) std::abort();
+    if (send != nullptr && Encode("f", send->message).size() > Membership::kMaxDatagramBytes) std::abort();
   }
   return 0;
 }
