--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -1,3 +1,4 @@
+// The simulator's protocol: record codes, field layouts, decoding and encoding.
 #include "adapter/codec.h"
 
 #include <algorithm>
@@ -8,8 +9,9 @@
 namespace pebblenotch::wire {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "values are copied as they stand on the wire");
+static_assert(std::endian::native == std::endian::little, "values are copied without byte swapping");
 
+// Record codes under the protocol's own names.
 enum EventCode : std::uint8_t {
   kBoot = 0,
   kMembership = 1,
@@ -41,8 +43,8 @@
 constexpr std::uint32_t kRosterSlots = 16;
 
 std::uint32_t ClampU32(Micros value) {
-  constexpr Micros kMost = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, kMost));
+  constexpr Micros kMax = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::clamp<Micros>(value, 0, kMax));
 }
 
 }  // namespace
@@ -81,7 +83,7 @@
 
 WorkerId FrameReader::TakeWorker() {
   WorkerId worker = 0;
-  std::memcpy(&worker, TakeBytes(6, "an executor").data(), 6);
+  std::memcpy(&worker, TakeBytes(6, "a worker id").data(), 6);
   return worker;
 }
 
@@ -89,7 +91,7 @@
   Metrics metrics;
   const std::size_t count = Take<std::uint8_t>("a load report");
   const auto bytes = TakeBytes(count * sizeof(float), "a load report");
-  metrics.count = std::min(count, kMostMetrics);
+  metrics.count = std::min(count, kMaxMetrics);
   if (metrics.count > 0) std::memcpy(metrics.values, bytes.data(), metrics.count * sizeof(float));
   return metrics;
 }
@@ -130,7 +132,7 @@
         entry.zone = Take<std::uint8_t>("roster");
         entry.weight = Take<float>("roster");
         const auto state = Take<std::uint8_t>("roster");
-        if (state > 2) throw WireError("unknown executor state", at_ - 1);
+        if (state > 2) throw WireError("undefined worker state", at_ - 1);
         entry.state = static_cast<WorkerState>(state);
         entry.kind = Take<std::uint8_t>("roster");
         entry.cell = Take<std::uint16_t>("roster");
@@ -142,7 +144,7 @@
     case kMembership: {
       const auto kind = Take<std::uint8_t>("membership");
       if (kind > 3) throw WireError("unknown membership kind", start + 1);
-      Take<std::uint64_t>("membership");  // the generation: lists arrive in order and leave nothing out
+      Take<std::uint64_t>("membership");  // generation; not needed, lists arrive complete and in order
       record = MembershipRef{static_cast<ListKind>(kind), Take<std::uint32_t>("membership")};
       break;
     }
@@ -208,13 +210,13 @@
       record = Stop{};
       break;
     case kStatusNote: {
-      AttemptProgress note;
-      note.id = Take<std::uint64_t>("status_note");
-      note.attempt = Take<std::uint8_t>("status_note");
+      AttemptProgress progress;
+      progress.id = Take<std::uint64_t>("status_note");
+      progress.attempt = Take<std::uint8_t>("status_note");
       TakeWorker();
-      note.started = Take<std::uint8_t>("status_note") == 1;
-      note.share_done = Take<float>("status_note");
-      record = note;
+      progress.started = Take<std::uint8_t>("status_note") == 1;
+      progress.share_done = Take<float>("status_note");
+      record = progress;
       break;
     }
     default:
@@ -241,13 +243,13 @@
   std::memcpy(bytes_.data() + at, &worker, 6);
 }
 
-void ReplyWriter::Code(std::uint8_t code) {
+void ReplyWriter::BeginRecord(std::uint8_t code) {
   Put(code);
   ++records_;
 }
 
-void ReplyWriter::At(std::uint16_t node) {
-  Code(kAt);
+void ReplyWriter::WriteInstance(std::uint16_t node) {
+  BeginRecord(kAt);
   Put(node);
 }
 
@@ -255,35 +257,35 @@
   struct Visitor {
     ReplyWriter& out;
     void operator()(const Push& a) const {
-      out.Code(kForward);
+      out.BeginRecord(kForward);
       out.Put<std::uint64_t>(a.id);
       out.Put(ClampU32(a.time_limit));
       out.PutWorker(a.worker);
     }
     void operator()(const Shed& a) const {
-      out.Code(kPushBack);
+      out.BeginRecord(kPushBack);
       out.Put<std::uint64_t>(a.id);
       out.Put(ClampU32(a.retry_after));
     }
     void operator()(const Fail& a) const {
-      out.Code(kGiveUp);
+      out.BeginRecord(kGiveUp);
       out.Put<std::uint64_t>(a.id);
     }
     void operator()(const Cancel& a) const {
-      out.Code(kAbandon);
+      out.BeginRecord(kAbandon);
       out.Put<std::uint64_t>(a.id);
       out.Put(static_cast<std::uint8_t>(a.attempt));
     }
     void operator()(const Probe& a) const {
-      out.Code(kProbe);
+      out.BeginRecord(kProbe);
       out.PutWorker(a.worker);
     }
     void operator()(const Subscribe&) const {
-      out.Code(kTail);
+      out.BeginRecord(kTail);
       out.Put<std::uint8_t>(1);
     }
     void operator()(const ArmTimer& a) const {
-      out.Code(kArm);
+      out.BeginRecord(kArm);
       out.Put<std::uint64_t>(static_cast<std::uint64_t>(a.at));
       out.Put(a.label);
     }
@@ -291,11 +293,11 @@
   std::visit(Visitor{*this}, action);
 }
 
-void ReplyWriter::GiveIn(std::string_view words) {
-  words = words.substr(0, std::numeric_limits<std::uint16_t>::max());
-  Code(kGiveIn);
-  Put(static_cast<std::uint16_t>(words.size()));
-  bytes_.insert(bytes_.end(), words.begin(), words.end());
+void ReplyWriter::WriteFailure(std::string_view message) {
+  message = message.substr(0, std::numeric_limits<std::uint16_t>::max());
+  BeginRecord(kGiveIn);
+  Put(static_cast<std::uint16_t>(message.size()));
+  bytes_.insert(bytes_.end(), message.begin(), message.end());
 }
 
 std::span<const std::uint8_t> ReplyWriter::Finish() {
--- a/adapter/codec.h
+++ b/adapter/codec.h
@@ -1,4 +1,4 @@
-// The simulator's wire: frames of little-endian records. Decodes events, encodes actions; decides nothing.
+// Codec of the simulator's protocol: frames of little-endian records. Decodes events and encodes actions.
 #ifndef PEBBLENOTCH_ADAPTER_CODEC_H_
 #define PEBBLENOTCH_ADAPTER_CODEC_H_
 
@@ -15,7 +15,7 @@
 
 namespace pebblenotch::wire {
 
-// Thrown for what does not follow the wire's format. `what()` names the fault and the byte of the frame.
+// Malformed input. `what()` names the fault and the byte offset in the frame.
 class WireError : public std::runtime_error {
  public:
   WireError(const std::string& fault, std::size_t offset)
@@ -23,33 +23,41 @@
 };
 
 inline constexpr std::size_t kFrameHeaderBytes = 16;
-inline constexpr std::size_t kMostMetrics = 8;  // more values than any report has; further ones are skipped
+inline constexpr std::size_t kMaxMetrics = 8;  // more values than any report has; others are skipped
 
+// The values of a load report, without their meaning (see InstanceSettings::fields).
 struct Metrics {
   std::size_t count = 0;
-  float values[kMostMetrics] = {};
+  float values[kMaxMetrics] = {};
 };
+// The node that the following events are for.
 struct TargetInstance {
   std::uint16_t node;
 };
+// Starts an instance.
 struct Boot {
   std::uint64_t seed;
   std::string_view params;  // points into the frame
 };
+// A worker list, stored under a slot number until a membership event refers to it.
 struct Roster {
   std::uint32_t slot;
   std::vector<WorkerEntry> workers;
 };
+// A membership event whose worker list is in the roster of this slot.
 struct MembershipRef {
   ListKind kind;
   std::uint32_t slot;
 };
+// Stops an instance.
 struct Stop {};
-struct PeerData {};  // read and passed over: the module tells its peers nothing
+struct PeerData {};  // ignored: the module sends nothing to its peers
+// An outcome whose load report is not interpreted yet.
 struct RawOutcome {
   Outcome outcome;
   Metrics metrics;
 };
+// A probe result whose load report is not interpreted yet.
 struct RawProbeResult {
   ProbeResult result;
   Metrics metrics;
@@ -58,19 +66,19 @@
                             RawProbeResult, Request, StreamStarted, AttemptProgress, TimerDue, ClientGone>;
 
 struct FrameHeader {
-  std::uint32_t length = 0;
+  std::uint32_t length = 0;  // bytes, header included
   std::uint32_t records = 0;
   Micros now = 0;
 };
-// Reads the 16 bytes of a batch's header and checks its figures against each other.
+// Reads and validates the 16 bytes of a frame's header. Throws WireError.
 FrameHeader ReadHeader(std::span<const std::uint8_t> bytes);
 
-// Reads the records of one whole frame, header included.
+// Reads the records of one complete frame, header included. The frame must outlive the reader.
 class FrameReader {
  public:
   explicit FrameReader(std::span<const std::uint8_t> frame);
   const FrameHeader& header() const { return header_; }
-  // The next record, or false at the end. Throws WireError.
+  // Reads the next record; returns false at the end. Throws WireError.
   bool Next(Record& record);
 
  private:
@@ -87,14 +95,16 @@
   std::uint32_t read_ = 0;
 };
 
-// Builds one reply.
+// Builds one reply frame.
 class ReplyWriter {
  public:
   ReplyWriter() { Clear(); }
   void Clear();
-  void At(std::uint16_t node);
+  // Names the instance that the following records are from.
+  void WriteInstance(std::uint16_t node);
   void Write(const Action& action);
-  void GiveIn(std::string_view words);
+  // Reports that an instance failed. The message is cut to 65,535 bytes.
+  void WriteFailure(std::string_view message);
   // Completes the header and returns the frame, which stays valid until the next call that writes.
   std::span<const std::uint8_t> Finish();
 
@@ -102,7 +112,7 @@
   template <typename T>
   void Put(T value);
   void PutWorker(WorkerId worker);
-  void Code(std::uint8_t code);
+  void BeginRecord(std::uint8_t code);
 
   std::vector<std::uint8_t> bytes_;
   std::uint32_t records_ = 0;
--- a/adapter/drill.cpp
+++ b/adapter/instance_host.cpp
@@ -1,39 +1,40 @@
-#include "adapter/drill.h"
+// Routes the records of a frame to the instances and collects their actions in the reply.
+#include "adapter/instance_host.h"
 
 #include <exception>
 #include <utility>
 
 namespace pebblenotch::wire {
 
-std::span<const std::uint8_t> Drill::Answer(std::span<const std::uint8_t> frame) {
+std::span<const std::uint8_t> InstanceHost::Process(std::span<const std::uint8_t> frame) {
   reply_.Clear();
-  replying_for_ = -1;
+  reply_instance_ = -1;
   FrameReader reader(frame);
   std::uint16_t node = 0;
-  bool named = false;
+  bool has_target = false;
   Record record;
   while (reader.Next(record)) {
     if (const auto* target = std::get_if<TargetInstance>(&record)) {
       node = target->node;
-      named = true;
+      has_target = true;
     } else if (auto* roster = std::get_if<Roster>(&record)) {
       rosters_[roster->slot] = std::move(roster->workers);
-    } else if (!named) {
+    } else if (!has_target) {
       throw WireError("event before any target_instance", kFrameHeaderBytes);
     } else {
       try {
-        Feed(node, reader.header().now, record);
+        Apply(node, reader.header().now, record);
       } catch (const std::exception& e) {
-        if (replying_for_ != node) reply_.At(node);
-        replying_for_ = node;
-        reply_.GiveIn(e.what());
+        if (reply_instance_ != node) reply_.WriteInstance(node);
+        reply_instance_ = node;
+        reply_.WriteFailure(e.what());
       }
     }
   }
   return reply_.Finish();
 }
 
-void Drill::Feed(std::uint16_t node, Micros now, Record& record) {
+void InstanceHost::Apply(std::uint16_t node, Micros now, Record& record) {
   if (const auto* boot = std::get_if<Boot>(&record)) {
     instances_.erase(node);
     InstanceSettings settings = ParseSettings(boot->params);
@@ -42,7 +43,7 @@
     return;
   }
   const auto it = instances_.find(node);
-  if (it == instances_.end()) return;  // what still comes for a stopped instance is void
+  if (it == instances_.end()) return;  // events for a stopped instance are ignored
   const auto& fields = it->second.settings.fields;
   if (std::holds_alternative<Stop>(record)) {
     instances_.erase(it);
@@ -63,8 +64,8 @@
     Handle(node, now, *request);
   } else if (const auto* started = std::get_if<StreamStarted>(&record)) {
     Handle(node, now, *started);
-  } else if (const auto* note = std::get_if<AttemptProgress>(&record)) {
-    Handle(node, now, *note);
+  } else if (const auto* progress = std::get_if<AttemptProgress>(&record)) {
+    Handle(node, now, *progress);
   } else if (const auto* timer = std::get_if<TimerDue>(&record)) {
     Handle(node, now, *timer);
   } else if (const auto* gone = std::get_if<ClientGone>(&record)) {
@@ -72,12 +73,12 @@
   }
 }
 
-void Drill::Handle(std::uint16_t node, Micros now, const Event& event) {
+void InstanceHost::Handle(std::uint16_t node, Micros now, const Event& event) {
   actions_.clear();
   instances_.at(node).dispatcher.handle(now, event, actions_);
   if (actions_.empty()) return;
-  if (replying_for_ != node) reply_.At(node);
-  replying_for_ = node;
+  if (reply_instance_ != node) reply_.WriteInstance(node);
+  reply_instance_ = node;
   for (const Action& action : actions_) reply_.Write(action);
 }
 
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -1,3 +1,4 @@
+// The keys of the settings text and their meaning.
 #include "adapter/settings.h"
 
 #include <charconv>
@@ -7,8 +8,9 @@
 namespace pebblenotch::wire {
 namespace {
 
-constexpr int kMostEntries = 4096;  // classes or tenants; guards against a count that is nonsense
+constexpr int kMaxEntries = 4096;  // classes or tenants; rejects implausible counts
 
+// The keys and values of a settings text, which must outlive it.
 class Values {
  public:
   explicit Values(std::string_view text) {
@@ -40,7 +42,7 @@
   }
   Micros RequiredTime(const std::string& key) const { return static_cast<Micros>(Required(key)); }
   int Count(const std::string& key, double value) const {
-    if (value < 0 || value > kMostEntries) throw SettingsError("settings: key " + key + " is out of range");
+    if (value < 0 || value > kMaxEntries) throw SettingsError("settings: key " + key + " is out of range");
     return static_cast<int>(value);
   }
   bool Flag(std::string_view key, bool fallback) const {
@@ -96,7 +98,7 @@
   } else {
     throw SettingsError("settings: key " + path + "idempotency cannot be read");
   }
-  // The narrowest scope is the safe reading of a value that is absent or not known.
+  // A value that is absent or unknown means the narrowest scope, which is always safe.
   const auto scope = values.Text(path + "keyScope", "cell");
   out.dedup_scope = scope == "all"    ? DedupScope::kAll
                     : scope == "zone" ? DedupScope::kZone
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -1,4 +1,4 @@
-// The settings text that an instance is born with, turned into the module's `Settings`.
+// Parses the settings text of an instance into the module's `Settings`.
 #ifndef PEBBLENOTCH_ADAPTER_SETTINGS_H_
 #define PEBBLENOTCH_ADAPTER_SETTINGS_H_
 
@@ -12,23 +12,25 @@
 
 namespace pebblenotch::wire {
 
-// A required key is missing, or a key's value cannot be read. `what()` names the key.
+// A required key is missing, or the value of a key is invalid. `what()` names the key.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// Meaning of one value of a load report.
 enum class ReportField { kWaiting, kActive, kBusy, kFreeSlots, kFreeMemory, kOther };
 
 struct InstanceSettings {
   Settings settings;
-  std::vector<ReportField> fields;  // what the values of a load report mean, in order
+  std::vector<ReportField> fields;  // meanings of the values of a load report, in order
 };
 
-// Unknown keys are ignored; absent optional ones keep the defaults of `Settings`.
+// Parses lines of `key=value`. Unknown keys are ignored; absent optional keys keep the defaults of
+// `Settings`. Throws SettingsError.
 InstanceSettings ParseSettings(std::string_view text);
 
-// Names the values of a raw report; absent where the report has none.
+// Interprets the values of a load report. Returns nothing if the report has no values.
 std::optional<Report> ToReport(const Metrics& metrics, const std::vector<ReportField>& fields);
 
 }  // namespace pebblenotch::wire
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -493,7 +493,7 @@
   pebblenotch::wire::Metrics metrics;
   bool any = false;
   for (const std::string& field : config_.load_fields) {
-    if (metrics.count == pebblenotch::wire::kMostMetrics) break;
+    if (metrics.count == pebblenotch::wire::kMaxMetrics) break;
     auto it = values.find(OnSockets(field));
     if (it == values.end()) it = values.find(field);
     any = any || it != values.end();
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,11 +1,11 @@
-// The wire, on exact bytes.
+// Tests of the simulator's protocol on exact bytes, and of InstanceHost.
 #include "adapter/codec.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
-#include "adapter/drill.h"
+#include "adapter/instance_host.h"
 
 namespace pebblenotch::wire {
 namespace {
@@ -52,7 +52,7 @@
   return std::get<T>(record);
 }
 
-// One record of every kind of event.
+// One record of each event code.
 const std::string_view kEvents[] = {
     "0c 0300",
     "00 0807060504030201 03000000 613d31",
@@ -113,13 +113,13 @@
   EXPECT_EQ(roster.workers[1].state, WorkerState::kDraining);
   EXPECT_EQ(roster.workers[1].kind, 1);
   EXPECT_EQ(roster.workers[1].cell, 4);
-  const auto note = One<AttemptProgress>(kEvents[12]);
-  EXPECT_EQ(note.attempt, 1);
-  EXPECT_FALSE(note.started);
-  EXPECT_FLOAT_EQ(static_cast<float>(note.share_done), 0.5F);
+  const auto progress = One<AttemptProgress>(kEvents[12]);
+  EXPECT_EQ(progress.attempt, 1);
+  EXPECT_FALSE(progress.started);
+  EXPECT_FLOAT_EQ(static_cast<float>(progress.share_done), 0.5F);
 }
 
-TEST(Codec, EveryTruncationOfAFrameIsRefused) {
+TEST(Codec, RejectsEveryTruncationOfAFrame) {
   for (const auto event : kEvents) {
     const Bytes body = Hex(event);
     for (std::size_t keep = 0; keep < body.size(); ++keep) {
@@ -135,7 +135,7 @@
   }
 }
 
-TEST(Codec, RefusesWhatDoesNotFit) {
+TEST(Codec, RejectsMalformedFrames) {
   const auto read = [](Bytes frame) {
     FrameReader reader(frame);
     Record record;
@@ -146,7 +146,7 @@
   EXPECT_THROW(read(Frame(1, Hex("09 09"))), WireError);                    // bytes left over
   EXPECT_THROW(read(Frame(9, Hex("09"))), WireError);                       // more records than bytes
   EXPECT_THROW(read(Frame(1, Hex("0a 00000000 ffffffff 00"))), WireError);  // a count that does not fit
-  EXPECT_THROW(read(Frame(1, Hex("0a 10000000 00000000"))), WireError);     // a roster number too high
+  EXPECT_THROW(read(Frame(1, Hex("0a 10000000 00000000"))), WireError);     // a roster slot out of range
   EXPECT_THROW(read(Frame(1, Hex("01 04 2900000000000000 00000000"))), WireError);
   EXPECT_THROW(read(Frame(1, Hex("07 44480000 0a124a072b23 08 00"))), WireError);  // unknown outcome
   try {
@@ -175,8 +175,8 @@
   EXPECT_EQ(body(Probe{0x232b074a120a}), Hex("05 0a124a072b23"));
   EXPECT_EQ(body(Subscribe{}), Hex("0a 01"));
   out.Clear();
-  out.At(3);
-  out.GiveIn("no");
+  out.WriteInstance(3);
+  out.WriteFailure("no");
   const auto frame = out.Finish();
   EXPECT_EQ(Bytes(frame.begin(), frame.end()), Hex("02000000 10000000 0c 0300 09 0200 6e6f"));
 }
@@ -194,8 +194,8 @@
 }
 void Append(Bytes& to, const Bytes& more) { to.insert(to.end(), more.begin(), more.end()); }
 
-TEST(Drill, BootsStopsAndBootsAgainInOneBatchAndAnswersForTheInstance) {
-  Drill drill;
+TEST(InstanceHost, RestartsAnInstanceInOneFrameAndReplies) {
+  InstanceHost host;
   Bytes body = Hex("0c 0300");
   Append(body, BootRecord(kSettings));
   Append(body, Hex("09"));
@@ -204,24 +204,24 @@
   Append(body, Hex("01 02 0100000000000000 00000000"));
   Append(body,
          Hex("02 0700000000000000 0000803f 00000000 00 00 0000000000000000 8096980000000000 00000000 0000"));
-  const auto reply = drill.Answer(Frame(7, body));
+  const auto reply = host.Process(Frame(7, body));
   const Bytes got(reply.begin() + 8, reply.end());
   ASSERT_GE(got.size(), 22u);
   EXPECT_EQ(Bytes(got.begin(), got.begin() + 22), Hex("0c 0300 00 0700000000000000 00000000 0a124a072b23"));
 }
 
-TEST(Drill, TellsOfSettingsThatCannotBeRead) {
-  Drill drill;
+TEST(InstanceHost, ReportsInvalidSettings) {
+  InstanceHost host;
   Bytes body = Hex("0c 0300");
   Append(body, BootRecord("classes.count=1\n"));
-  const auto reply = drill.Answer(Frame(2, body));
+  const auto reply = host.Process(Frame(2, body));
   const std::string text(reply.begin(), reply.end());
   EXPECT_NE(text.find("classes.0.aim is missing"), std::string::npos);
 }
 
-TEST(Drill, EventsOfAStoppedInstanceAreVoid) {
-  Drill drill;
-  const auto reply = drill.Answer(Frame(2, Hex("0c 0900 06 4d000000")));
+TEST(InstanceHost, IgnoresEventsOfAStoppedInstance) {
+  InstanceHost host;
+  const auto reply = host.Process(Frame(2, Hex("0c 0900 06 4d000000")));
   EXPECT_EQ(Bytes(reply.begin(), reply.end()), Hex("00000000 08000000"));
 }
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,4 @@
-// The README's example, run against the installed library: one node, two workers, one request.
+// Example program, built against the installed library: one node, two workers, one request.
 #include <pebblenotch/brain.h>
 
 #include <cstdio>
@@ -8,7 +8,7 @@
 int main() {
   namespace pn = pebblenotch;
   pn::Settings settings;
-  settings.classes.push_back({});  // one class with the default figures, unsafe to repeat
+  settings.classes.push_back({});  // one class with the defaults: at most once
   settings.max_attempts = 3;
   pn::Dispatcher node(settings, /*seed=*/42, /*now=*/0);
 
--- a/tests/draw_test.cpp
+++ b/tests/draw_test.cpp
@@ -1,4 +1,4 @@
-// The ordinary path: ranks, weights, own pushes, reports.
+// Tests of the weighted draw: ranks, weights, own pushes and load reports.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,8 +9,9 @@
 namespace pebblenotch::testing {
 namespace {
 
-// Chances by a plain sorted ranking: key (queue, free slots); ties share the best rank; weight its square.
-std::vector<double> Sorted(const std::vector<std::pair<int, int>>& table) {
+// Reference implementation: sorts by queue, then free slots; ties share the best rank; weight is rank
+// squared.
+std::vector<double> ReferenceChances(const std::vector<std::pair<int, int>>& table) {
   std::vector<double> weights(table.size());
   double total = 0;
   for (std::size_t i = 0; i < table.size(); ++i) {
@@ -36,16 +37,16 @@
     std::vector<std::pair<int, int>> table;
     for (int i = 0; i < n; ++i) {
       table.emplace_back(0, 1 + static_cast<int>(random() % 9));
-      node.Probed(static_cast<WorkerId>(i + 1), Load(0, table.back().second));
+      node.ProbeReply(static_cast<WorkerId>(i + 1), Load(0, table.back().second));
     }
-    const auto wanted = Sorted(table);
+    const auto expected = ReferenceChances(table);
     const auto chances = node.dispatcher().DrawChances(0);
-    ASSERT_EQ(chances.size(), wanted.size());
-    for (int i = 0; i < n; ++i) EXPECT_NEAR(chances[i], wanted[i], 1e-12);
+    ASSERT_EQ(chances.size(), expected.size());
+    for (int i = 0; i < n; ++i) EXPECT_NEAR(chances[i], expected[i], 1e-12);
   }
 }
 
-std::vector<Action> Told(Node& node, WorkerId worker, Report report, Micros age) {
+std::vector<Action> ReportFromPeer(Node& node, WorkerId worker, Report report, Micros age) {
   ProbeResult p;
   p.worker = worker;
   p.report = report;
@@ -53,55 +54,57 @@
   return node.Feed(p);
 }
 
-// What another scheduler was told counts as one's own report of that time would: never over what was seen
-// here since, and no longer.
-TEST(Draw, AnothersReportCountsByItsAge) {
+// A report received by another node counts like an own report of that age: it never replaces a later own
+// observation, and expires at the same age.
+TEST(Draw, PeerReportCountsByItsAge) {
   Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
-  Told(node, 1, Load(4, 0), 500 * kMs);
-  EXPECT_EQ(node.dispatcher().DrawChances(0)[0], 0) << "it is full, as far as anybody knows";
-  node.Probed(2, Load(0, 2));
-  Told(node, 2, Load(4, 0), 100 * kMs);
-  EXPECT_GT(node.dispatcher().DrawChances(0)[1], 0) << "its own sight is later";
-  node.Probed(2, Load(4, 0));
-  EXPECT_TRUE(Of<Push>(node.Ask(1)).empty()) << "both are full";
-  node.Pass(510 * kMs);  // the other's word of worker 1 is over a second old now, the own report is not
-  const auto pushes = Of<Push>(node.Ask(2));
+  ReportFromPeer(node, 1, Load(4, 0), 500 * kMs);
+  EXPECT_EQ(node.dispatcher().DrawChances(0)[0], 0) << "the peer reported it full";
+  node.ProbeReply(2, Load(0, 2));
+  ReportFromPeer(node, 2, Load(4, 0), 100 * kMs);
+  EXPECT_GT(node.dispatcher().DrawChances(0)[1], 0) << "its own observation is later";
+  node.ProbeReply(2, Load(4, 0));
+  EXPECT_TRUE(OfType<Push>(node.Send(1)).empty()) << "both are full";
+  node.Advance(
+      510 *
+      kMs);  // the peer's report of worker 1 is over a second old now, the own report of worker 2 is not
+  const auto pushes = OfType<Push>(node.Send(2));
   ASSERT_FALSE(pushes.empty());
   EXPECT_EQ(pushes[0].worker, 1u);
 }
 
-// What was sent after another's report was made is not in it, though it would be in one that came now.
-TEST(Draw, OwnPushesAreHeldAgainstAnOldReport) {
+// A push sent after a peer's report was made is not included in it, even if it would be in a report made now.
+TEST(Draw, OwnPushesCountOnTopOfAnOlderPeerReport) {
   for (const bool sent_before : {false, true}) {
     Node node(Site({Class(Idempotency::kIdempotent)}));
     node.List(ListKind::kCached, Fleet(2));
-    const WorkerId to = Of<Push>(node.Ask(1)).at(0).worker;
+    const WorkerId to = OfType<Push>(node.Send(1)).at(0).worker;
     const std::size_t at = static_cast<std::size_t>(to - 1);
-    node.Pass(kReportLag + (sent_before ? 600 : 200) * kMs);
-    for (const WorkerId w : {1, 2}) Told(node, w, Load(0, 1), 500 * kMs);
+    node.Advance(kReportLag + (sent_before ? 600 : 200) * kMs);
+    for (const WorkerId w : {1, 2}) ReportFromPeer(node, w, Load(0, 1), 500 * kMs);
     const auto chances = node.dispatcher().DrawChances(0);
     EXPECT_EQ(chances[at] < chances[1 - at], !sent_before);
   }
 }
 
-// A cold worker takes pushes on its tokens alone, whatever room others say that it has.
-TEST(Draw, NoWordOfRoomWarmsAColdWorker) {
+// A cold worker receives pushes only on tokens, whatever free capacity peers report.
+TEST(Draw, PeerReportDoesNotEndSlowStart) {
   Node node(Site({Class(Idempotency::kIdempotent)}));
   std::vector<WorkerEntry> fleet = Fleet(2);
   fleet[0].started_at = node.now() - 100 * kMs;
   node.List(ListKind::kCached, fleet);
-  Told(node, 1, Load(0, 9), 50 * kMs);
+  ReportFromPeer(node, 1, Load(0, 9), 50 * kMs);
   EXPECT_EQ(node.dispatcher().DrawChances(0)[0], 0);
 }
 
-TEST(Draw, SquaredRankDecidesHowOftenAWorkerIsDrawn) {
+TEST(Draw, WorkersAreDrawnInProportionToSquaredRank) {
   std::vector<int> drawn(3, 0);
   for (std::uint64_t seed = 0; seed < 3000; ++seed) {
     Node node(Site({Class(Idempotency::kIdempotent)}), seed);
     node.List(ListKind::kCached, Fleet(3));
-    for (WorkerId w = 1; w <= 3; ++w) node.Probed(w, Load(0, static_cast<double>(w)));
-    const auto pushes = Of<Push>(node.Ask(1));
+    for (WorkerId w = 1; w <= 3; ++w) node.ProbeReply(w, Load(0, static_cast<double>(w)));
+    const auto pushes = OfType<Push>(node.Send(1));
     ASSERT_EQ(pushes.size(), 1u);
     ++drawn[pushes[0].worker - 1];
   }
@@ -110,55 +113,55 @@
   EXPECT_NEAR(drawn[0] / 3000.0, 1.0 / 14, 0.03);
 }
 
-TEST(Draw, OwnPushesLengthenAQueueUntilAFreshReport) {
+TEST(Draw, OwnPushesCountUntilAFreshReport) {
   Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
-  node.Probed(1, Load(0, 4));
-  node.Probed(2, Load(0, 4));
-  const auto first = Of<Push>(node.Ask(1));
+  node.ProbeReply(1, Load(0, 4));
+  node.ProbeReply(2, Load(0, 4));
+  const auto first = OfType<Push>(node.Send(1));
   ASSERT_EQ(first.size(), 1u);
   const std::size_t pushed = first[0].worker - 1;
   EXPECT_NEAR(node.dispatcher().DrawChances(0)[pushed], 0.2, 1e-12);  // rank 1 of 2
-  // A report so soon cannot know of the push; a later one replaces it.
-  node.Probed(first[0].worker, Load(0, 4));
+  // A report this early cannot include the push; a later one replaces it.
+  node.ProbeReply(first[0].worker, Load(0, 4));
   EXPECT_NEAR(node.dispatcher().DrawChances(0)[pushed], 0.2, 1e-12);
-  node.Pass(6 * kS);
-  node.Probed(1, Load(0, 4));
-  node.Probed(2, Load(0, 4));
+  node.Advance(6 * kS);
+  node.ProbeReply(1, Load(0, 4));
+  node.ProbeReply(2, Load(0, 4));
   EXPECT_NEAR(node.dispatcher().DrawChances(0)[pushed], 0.5, 1e-12);
 }
 
-TEST(Draw, APushThatWasNotAcceptedComesOffAgain) {
+TEST(Draw, AFailedPushNoLongerCounts) {
   for (const Result result : {Result::kFull, Result::kConnectFailed, Result::kError, Result::kTimeout}) {
     Node node(Site({Class(Idempotency::kAtMostOnce)}));
     node.List(ListKind::kCached, Fleet(1));
-    node.Probed(1, Load(0, 4));
+    node.ProbeReply(1, Load(0, 4));
     const auto before = node.dispatcher().DrawChances(0);
-    ASSERT_EQ(Of<Push>(node.Ask(1)).size(), 1u);
+    ASSERT_EQ(OfType<Push>(node.Send(1)).size(), 1u);
     node.End(1, 0, 1, result);
-    node.Pass(60 * kS);  // whatever health made of it is over
+    node.Advance(60 * kS);  // past any ejection
     node.Run(0);
-    node.Probed(1, Load(0, 1));
+    node.ProbeReply(1, Load(0, 1));
     EXPECT_EQ(node.dispatcher().DrawChances(0), before);
   }
 }
 
-TEST(Draw, WorkersWithoutRoomSitOutWhileOthersHaveSome) {
+TEST(Draw, FullWorkersAreSkippedWhileOthersHaveFreeCapacity) {
   Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(3));
-  node.Probed(1, Load(0, 0));
-  node.Probed(2, Load(3, 0));
-  node.Probed(3, Load(0, 1));
+  node.ProbeReply(1, Load(0, 0));
+  node.ProbeReply(2, Load(3, 0));
+  node.ProbeReply(3, Load(0, 1));
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 0, 1}));
 }
 
-TEST(Draw, OldReportsTellNothing) {
+TEST(Draw, OldReportsExpire) {
   Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
-  node.Probed(1, Load(5, 0));
+  node.ProbeReply(1, Load(5, 0));
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 1}));
-  node.Pass(60 * kS);
-  node.Ask(1);  // a draw looks for old reports first
+  node.Advance(60 * kS);
+  node.Send(1);  // a draw expires old reports first
   const auto chances = node.dispatcher().DrawChances(0);
   EXPECT_GT(chances[0], 0);
 }
@@ -172,8 +175,8 @@
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 1}));
 }
 
-// Found on a day where cheap jobs filled the only kind that the dearest class can run on.
-TEST(Draw, AScarceKindSitsOutTheFirstTryOfOtherClasses) {
+// Guards against jobs of low worth filling the only kind of worker that the class of highest worth can use.
+TEST(Draw, AScarceKindIsSkippedAtTheFirstAttemptOfOtherClasses) {
   auto site = Site({Class(Idempotency::kIdempotent), Class(Idempotency::kAtMostOnce)});
   site.kinds = 2;
   site.classes[1].kind = 1;
@@ -182,34 +185,35 @@
   node.List(ListKind::kCached, {Entry(1, 0, 0), Entry(2, 0, 1)});
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{1, 0}));
   EXPECT_EQ(node.dispatcher().DrawChances(1), (std::vector<double>{0, 1}));
-  ASSERT_EQ(Of<Push>(node.Ask(1)).size(), 1u);
-  const auto second = Of<Push>(node.End(1, 0, 1, Result::kFull));
+  ASSERT_EQ(OfType<Push>(node.Send(1)).size(), 1u);
+  const auto second = OfType<Push>(node.End(1, 0, 1, Result::kFull));
   ASSERT_EQ(second.size(), 1u);
   EXPECT_EQ(second[0].worker, 2u);
 }
 
-TEST(Draw, WorkersUnheardOfAreTakenAtHomeFirst) {
+TEST(Draw, UnreportedWorkersOfTheOwnZoneComeFirst) {
   auto site = Site({Class(Idempotency::kIdempotent)});
   site.zones = 2;
   site.zone = 1;
   Node node(site);
   node.List(ListKind::kCached, {Entry(1, 0), Entry(2, 1), Entry(3, 0)});
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 1, 0}));
-  node.Probed(1, Load(0, 3));  // known room elsewhere is better than a blind push at home
+  node.ProbeReply(1,
+                  Load(0, 3));  // known free capacity in another zone beats an unreported worker in this one
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{1, 0, 0}));
 }
 
-TEST(Draw, SlotsThatAJobNeedsCount) {
+TEST(Draw, AJobGoesOnlyWhereItsSlotsFit) {
   Node node(Site({Class(Idempotency::kIdempotent)}));
   node.List(ListKind::kCached, Fleet(2));
-  node.Probed(1, Load(0, 1));
-  node.Probed(2, Load(0, 2));
+  node.ProbeReply(1, Load(0, 1));
+  node.ProbeReply(2, Load(0, 2));
   for (RequestId id = 1; id <= 1; ++id) {
     Request r;
     r.id = id;
     r.deadline = node.now() + 10 * kS;
     r.slots = 2;
-    const auto pushes = Of<Push>(node.Feed(r));
+    const auto pushes = OfType<Push>(node.Feed(r));
     ASSERT_EQ(pushes.size(), 1u);
     EXPECT_EQ(pushes[0].worker, 2u);
   }
--- a/tests/drill_exit_status.sh
+++ b/tests/drill_exit_status.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# The program's exit status and its one plain line on standard error. Usage: drill_exit_status.sh PROGRAM
+# Tests the exit status of pebblenotch_drill and that it prints at most one line to standard error.
+# Usage: drill_exit_status.sh PROGRAM
 set -u
 drill=$1
 fails=0
-expect() {  # name, wanted status, pattern that standard error must match, input as printf escapes
+expect() {  # name, expected status, pattern for standard error, input as printf escapes
   local err status
   err=$(printf "$4" | timeout 20 "$drill" 2>&1 >/dev/null)
   status=$?
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// Drives one Dispatcher through its public interface.
+// Test harness that drives one Dispatcher through its public interface.
 #ifndef PEBBLENOTCH_TESTS_HARNESS_H_
 #define PEBBLENOTCH_TESTS_HARNESS_H_
 
@@ -64,9 +64,9 @@
       : now_(now), dispatcher_(settings, seed, now) {}
 
   Micros now() const { return now_; }
-  void Pass(Micros time) { now_ += time; }
+  void Advance(Micros time) { now_ += time; }
 
-  // Feeds one event; gives back what it brought about, and fires no timers.
+  // Passes one event and returns the resulting actions. Fires no timers.
   std::vector<Action> Feed(const Event& event) {
     std::vector<Action> actions;
     dispatcher_.handle(now_, event, actions);
@@ -75,7 +75,7 @@
     }
     return actions;
   }
-  // Lets time pass, firing the timers that fall due on the way.
+  // Advances the clock and fires the timers that become due.
   std::vector<Action> Run(Micros time) {
     std::vector<Action> all;
     const Micros end = now_ + time;
@@ -97,7 +97,7 @@
   std::vector<Action> List(ListKind kind, const std::vector<WorkerEntry>& workers) {
     return Feed(Membership{kind, workers});
   }
-  std::vector<Action> Ask(RequestId id, int job_class = 0, Micros patience = 10 * kS) {
+  std::vector<Action> Send(RequestId id, int job_class = 0, Micros patience = 10 * kS) {
     Request r;
     r.id = id;
     r.job_class = job_class;
@@ -115,7 +115,7 @@
     o.report = report;
     return Feed(o);
   }
-  std::vector<Action> Probed(WorkerId worker, Report report) {
+  std::vector<Action> ProbeReply(WorkerId worker, Report report) {
     ProbeResult p;
     p.worker = worker;
     p.report = report;
@@ -129,8 +129,9 @@
   std::vector<ArmTimer> armed_;
 };
 
+// The actions of one type, in order.
 template <typename T>
-std::vector<T> Of(const std::vector<Action>& actions) {
+std::vector<T> OfType(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const Action& a : actions) {
     if (const T* one = std::get_if<T>(&a)) found.push_back(*one);
--- a/tests/random_events_test.cpp
+++ b/tests/random_events_test.cpp
@@ -1,5 +1,5 @@
-// Long random but legal event sequences under varied settings. Own bookkeeping checks every action against
-// rules 1 to 3 and the legality of actions. No workers are modelled: outcomes are drawn at random.
+// Property test: long random but legal event sequences under random settings. Every action is checked for
+// legality and against rules 1 to 3 with separate bookkeeping. Workers are not modelled; outcomes are random.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,21 +11,21 @@
 namespace pebblenotch::testing {
 namespace {
 
-struct Try {
+struct TrackedAttempt {
   WorkerId worker;
   Micros sent;
-  bool out = true, never_ran = false;
+  bool outstanding = true, never_ran = false;
 };
-struct Held {
+struct TrackedRequest {
   int job_class;
   Micros deadline;
-  bool owed = true;
-  std::vector<Try> tries;
+  bool needs_answer = true;
+  std::vector<TrackedAttempt> attempts;
 };
 
 class World {
  public:
-  explicit World(std::uint64_t seed) : random_(seed), settings_(Draw()), node_(settings_, seed) {
+  explicit World(std::uint64_t seed) : random_(seed), settings_(RandomSettings()), node_(settings_, seed) {
     for (WorkerId w = 1; w <= 12; ++w) {
       WorkerEntry e = Entry(w, Int(settings_.zones), Int(settings_.kinds));
       e.cell = Int(3);
@@ -40,46 +40,46 @@
       case 0:
       case 1:
       case 2:
-        Ask();
+        SendRequest();
         break;
       case 3:
       case 4:
       case 5:
-        EndOne();
+        EndRandomAttempt();
         break;
       case 6:
-        ChangeOne();
+        ChangeRandomWorker();
         break;
       case 7:
-        Check(node_.Probed(1 + Int(14), Load(Int(4), Int(6))));
+        Check(node_.ProbeReply(1 + Int(14), Load(Int(4), Int(6))));
         break;
       case 8:
-        Noted();
+        ReportProgress();
         break;
       default:
         if (Int(8) == 0)
           ListAll(Int(2) == 0 ? ListKind::kWhole : ListKind::kFailed);
         else if (Int(4) == 0)
-          Leave();
+          ClientLeaves();
     }
   }
   void Finish() {
     Advance(15'000);
-    for (auto& [id, held] : held_) {
-      EXPECT_FALSE(held.owed) << "request " << id << " was never answered";
+    for (auto& [id, request] : requests_) {
+      EXPECT_FALSE(request.needs_answer) << "request " << id << " was never answered";
     }
   }
   int pushes() const { return pushes_; }
 
  private:
-  void Advance(int ms) {  // in steps as short as a deadline's grace can tell apart
+  void Advance(int ms) {  // in steps shorter than the margin for late answers
     for (int passed = 0; passed < ms; passed += 5) {
       Check(node_.Run(5 * kMs));
       AnswerOverdue();
     }
   }
   int Int(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
-  Settings Draw() {
+  Settings RandomSettings() {
     const Idempotency idempotencies[] = {Idempotency::kIdempotent, Idempotency::kDeduplicated,
                                          Idempotency::kAtMostOnce};
     const DedupScope scopes[] = {DedupScope::kAll, DedupScope::kZone, DedupScope::kCell};
@@ -110,38 +110,38 @@
     if (kind == ListKind::kFailed) all.clear();
     Check(node_.List(kind, all));
   }
-  void ChangeOne() {
+  void ChangeRandomWorker() {
     WorkerEntry& e = workers_[1 + Int(12)];
     e.state = static_cast<WorkerState>(Int(3));
     if (Int(3) == 0) e.started_at = node_.now() - Int(3000) * kMs;
     Check(node_.List(ListKind::kChanges, {e}));
   }
-  void Ask() {
+  void SendRequest() {
     Request r;
     r.id = ++last_;
     r.job_class = Int(static_cast<int>(settings_.classes.size()));
     r.deadline = node_.now() + (1 + Int(12'000)) * kMs;
     r.tenant = Int(3);
     if (Int(2) == 0) r.hint = Int(3000) * kMs;
-    held_[r.id] = {r.job_class, r.deadline, true, {}};
+    requests_[r.id] = {r.job_class, r.deadline, true, {}};
     Check(node_.Feed(r));
   }
-  // A try that is still out when the client's time is up comes back as timed out.
+  // Attempts that are outstanding at the client's deadline end with a timeout.
   void AnswerOverdue() {
-    for (auto& [id, held] : held_) {
-      if (node_.now() < held.deadline) continue;
-      for (std::size_t i = 0; i < held.tries.size(); ++i) {
-        if (held.tries[i].out) End(id, i, Result::kTimeout);
+    for (auto& [id, request] : requests_) {
+      if (node_.now() < request.deadline) continue;
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (request.attempts[i].outstanding) End(id, i, Result::kTimeout);
       }
-      EXPECT_FALSE(held.owed) << "request " << id << " is overdue";
-      held.owed = false;
+      EXPECT_FALSE(request.needs_answer) << "request " << id << " is overdue";
+      request.needs_answer = false;
     }
   }
-  void EndOne() {
+  void EndRandomAttempt() {
     std::vector<std::pair<RequestId, std::size_t>> out;
-    for (auto& [id, held] : held_) {
-      for (std::size_t i = 0; i < held.tries.size(); ++i) {
-        if (held.tries[i].out) out.emplace_back(id, i);
+    for (auto& [id, request] : requests_) {
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (request.attempts[i].outstanding) out.emplace_back(id, i);
       }
     }
     if (out.empty()) return;
@@ -149,28 +149,28 @@
     End(id, i, Int(2) == 0 ? Result::kOk : static_cast<Result>(Int(8)));
   }
   void End(RequestId id, std::size_t attempt, Result result) {
-    Held& held = held_[id];
-    Try& t = held.tries[attempt];
-    t.out = false;
+    TrackedRequest& request = requests_[id];
+    TrackedAttempt& t = request.attempts[attempt];
+    t.outstanding = false;
     t.never_ran = NeverRan(result);
-    if (result == Result::kOk) held.owed = false;
+    if (result == Result::kOk) request.needs_answer = false;
     const auto report = Int(2) == 0 ? std::optional(Load(Int(3), Int(6))) : std::nullopt;
-    Check(node_.End(id, static_cast<int>(attempt), t.worker, result, !held.owed, report));
+    Check(node_.End(id, static_cast<int>(attempt), t.worker, result, !request.needs_answer, report));
   }
-  void Noted() {
-    for (auto& [id, held] : held_) {
-      for (std::size_t i = 0; i < held.tries.size(); ++i) {
-        if (held.tries[i].out && Int(4) == 0) {
+  void ReportProgress() {
+    for (auto& [id, request] : requests_) {
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (request.attempts[i].outstanding && Int(4) == 0) {
           Check(node_.Feed(AttemptProgress{id, static_cast<int>(i), Int(2) == 0, 0.5}));
           return;
         }
       }
     }
   }
-  void Leave() {
-    for (auto& [id, held] : held_) {
-      if (!held.owed || Int(4) != 0) continue;
-      held.owed = false;
+  void ClientLeaves() {
+    for (auto& [id, request] : requests_) {
+      if (!request.needs_answer || Int(4) != 0) continue;
+      request.needs_answer = false;
       Check(node_.Feed(ClientGone{id}));
       return;
     }
@@ -183,21 +183,21 @@
   }
   void On(const Push& a) {
     ++pushes_;
-    ASSERT_TRUE(held_.contains(a.id));
-    Held& held = held_[a.id];
-    const ClassSettings& c = settings_.classes[static_cast<std::size_t>(held.job_class)];
-    EXPECT_TRUE(held.owed) << "rule 1: sent after the end";
+    ASSERT_TRUE(requests_.contains(a.id));
+    TrackedRequest& request = requests_[a.id];
+    const ClassSettings& c = settings_.classes[static_cast<std::size_t>(request.job_class)];
+    EXPECT_TRUE(request.needs_answer) << "rule 1: pushed after the final answer";
     ASSERT_TRUE(workers_.contains(a.worker));
     const WorkerEntry& to = workers_[a.worker];
     EXPECT_EQ(to.state, WorkerState::kReady) << "rule 3";
     if (c.kind >= 0) {
       EXPECT_EQ(to.kind, c.kind);
     }
-    for (const Try& t : held.tries) {
-      EXPECT_TRUE(!t.out || settings_.concurrent_attempts) << "rule 2: two at once";
+    for (const TrackedAttempt& t : request.attempts) {
+      EXPECT_TRUE(!t.outstanding || settings_.concurrent_attempts) << "rule 2: concurrent attempts";
       if (t.never_ran || c.idempotency == Idempotency::kIdempotent) continue;
-      EXPECT_EQ(c.idempotency, Idempotency::kDeduplicated) << "rule 2: unsafe";
-      EXPECT_LT(node_.now() - t.sent, c.key_ttl) << "rule 2: window";
+      EXPECT_EQ(c.idempotency, Idempotency::kDeduplicated) << "rule 2: at most once";
+      EXPECT_LT(node_.now() - t.sent, c.key_ttl) << "rule 2: key_ttl";
       const WorkerEntry& first = workers_[t.worker];
       if (c.dedup_scope == DedupScope::kZone) {
         EXPECT_EQ(first.zone, to.zone);
@@ -206,28 +206,28 @@
         EXPECT_EQ(first.cell, to.cell);
       }
     }
-    held.tries.push_back({a.worker, node_.now()});
-    EXPECT_LE(static_cast<int>(held.tries.size()), settings_.max_attempts);
+    request.attempts.push_back({a.worker, node_.now()});
+    EXPECT_LE(static_cast<int>(request.attempts.size()), settings_.max_attempts);
   }
   void On(const Shed& a) {
-    Held& held = held_[a.id];
-    const ClassSettings& c = settings_.classes[static_cast<std::size_t>(held.job_class)];
-    for (const Try& t : held.tries) {
+    TrackedRequest& request = requests_[a.id];
+    const ClassSettings& c = settings_.classes[static_cast<std::size_t>(request.job_class)];
+    for (const TrackedAttempt& t : request.attempts) {
       EXPECT_TRUE(t.never_ran || c.idempotency == Idempotency::kIdempotent ||
                   (c.idempotency == Idempotency::kDeduplicated && c.dedup_scope == DedupScope::kAll))
-          << "rule 2: refused though it may have run";
+          << "rule 2: shed though it may have run";
     }
-    Final(held);
+    Final(request);
   }
-  void On(const Fail& a) { Final(held_[a.id]); }
-  void Final(Held& held) {
-    EXPECT_TRUE(held.owed) << "rule 1: a second final answer";
-    EXPECT_LE(node_.now(), held.deadline + 20 * kMs) << "rule 1: late";
-    held.owed = false;
+  void On(const Fail& a) { Final(requests_[a.id]); }
+  void Final(TrackedRequest& request) {
+    EXPECT_TRUE(request.needs_answer) << "rule 1: a second final answer";
+    EXPECT_LE(node_.now(), request.deadline + 20 * kMs) << "rule 1: late";
+    request.needs_answer = false;
   }
   void On(const Cancel& a) {
     EXPECT_TRUE(settings_.may_cancel);
-    EXPECT_LT(a.attempt, static_cast<int>(held_[a.id].tries.size()));
+    EXPECT_LT(a.attempt, static_cast<int>(requests_[a.id].attempts.size()));
   }
   void On(const Probe& a) {
     EXPECT_TRUE(settings_.may_probe);
@@ -240,12 +240,12 @@
   Settings settings_;
   Node node_;
   std::map<WorkerId, WorkerEntry> workers_;
-  std::map<RequestId, Held> held_;
+  std::map<RequestId, TrackedRequest> requests_;
   RequestId last_ = 0;
   int pushes_ = 0;
 };
 
-TEST(RandomEvents, KeepTheRules) {
+TEST(RandomEvents, ActionsFollowTheRules) {
   int pushes = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE(seed);
@@ -254,7 +254,7 @@
     world.Finish();
     pushes += world.pushes();
   }
-  EXPECT_GT(pushes, 3'000);  // the check has had something to look at
+  EXPECT_GT(pushes, 3'000);  // the checks were not vacuous
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the settings text of an instance.
 #include "adapter/settings.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
     "limits.maxAttempts=6\nrules.coldFrom=0.3\nrules.warmUp=8900000\nrules.overloadFactor=4.0\nrules.fall="
     "1500000\n";
 
-TEST(SettingsText, ReadsWhatIsThereAndKeepsDefaultsElsewhere) {
+TEST(SettingsText, ReadsKeysAndKeepsDefaultsForAbsentOnes) {
   const auto parsed = ParseSettings(
       kRequired +
       "classes.1.keyScope=all\nclasses.1.keyTtl=40000000\nclasses.1.lateWorth=0.25\nclasses.1.value=3.0\n"
@@ -55,7 +56,7 @@
   EXPECT_FALSE(report->free_memory.has_value());
 }
 
-TEST(SettingsText, NamesTheRequiredKeyThatIsMissingOrUnreadable) {
+TEST(SettingsText, NamesARequiredKeyThatIsMissingOrInvalid) {
   std::size_t at = 0;
   while (at < kRequired.size()) {
     const auto end = kRequired.find('\n', at);
@@ -76,7 +77,7 @@
   }
 }
 
-TEST(SettingsText, ACountThatIsNonsenseIsRefused) {
+TEST(SettingsText, RejectsImplausibleCounts) {
   EXPECT_THROW(ParseSettings("classes.count=1e12\n"), SettingsError);
   EXPECT_THROW(ParseSettings("classes.count=-1\n"), SettingsError);
 }
