--- a/src/cluster/members_tool.cpp
+++ b/src/cluster/members_tool.cpp
@@ -15,13 +15,13 @@
 namespace heronway::cluster {
 namespace {
 
-std::string Write(const Json::Value& value) {
+std::string ToJsonLine(const Json::Value& value) {
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   return Json::writeString(builder, value) + "\n";
 }
 
-Json::Value Head(const Node& node) {
+Json::Value CommonFields(const Node& node) {
   Json::Value out;
   out["name"] = node.core().self().id.name;
   out["fleet"] = node.fleet();
@@ -52,27 +52,27 @@
         n > 0 ? reader.Feed({bytes, static_cast<std::size_t>(n)}, used) : reader.AtEnd();
     if (state == http::ReadState::kWhole) return reader.TakeWhole();
     if (n <= 0 || state != http::ReadState::kMore)
-      throw std::runtime_error("the console at " + console + " gave no answer");
+      throw std::runtime_error("the console at " + console + " did not answer");
   }
 }
 
 int ReportConsoleError(const std::string& console, const http::Message& answer) {
-  std::fprintf(stderr, "heronway: the console at %s says %u: %s", console.c_str(), answer.status,
+  std::fprintf(stderr, "heronway: the console at %s answered %u: %s", console.c_str(), answer.status,
                answer.body.c_str());
   return 1;
 }
 
 std::string ClusterBody(const Node& node) {
-  Json::Value out = Head(node);
+  Json::Value out = CommonFields(node);
   out["schedulers"] = node.schedulers();
   out["present"] = node.core().fleet_size();
   out["health"] = node.core().local_health();
   out["digest"] = Json::UInt64(node.core().digest());
-  return Write(out);
+  return ToJsonLine(out);
 }
 
 std::string MembersBody(const Node& node) {
-  Json::Value out = Head(node);
+  Json::Value out = CommonFields(node);
   Json::Value& members = out["members"] = Json::arrayValue;
   const auto age = [now = node.Now()](Micros at) {
     return at == 0 ? Json::Value() : Json::Int64((now - at) / 1000);
@@ -92,7 +92,7 @@
     m["round_trip_us"] = v.round_trip > 0 ? Json::Value(Json::Int64(v.round_trip)) : Json::Value();
     members.append(std::move(m));
   }
-  return Write(out);
+  return ToJsonLine(out);
 }
 
 std::optional<Json::Value> FetchConsoleJson(const std::string& console, const std::string& path, bool raw,
--- a/src/cluster/members_tool.h
+++ b/src/cluster/members_tool.h
@@ -1,6 +1,6 @@
-// What the console says of the fleet, and `heronway members`, which asks it.
-#ifndef HERONWAY_CLUSTER_TOOL_H_
-#define HERONWAY_CLUSTER_TOOL_H_
+// Console answers about the fleet, and the sub-command `heronway members` that requests and prints them.
+#ifndef HERONWAY_CLUSTER_MEMBERS_TOOL_H_
+#define HERONWAY_CLUSTER_MEMBERS_TOOL_H_
 
 #include <json/value.h>
 
@@ -13,13 +13,13 @@
 
 class Node;
 
-// One call of a console, on a blocking socket with a limit of time. Throws std::runtime_error where it cannot
-// be asked.
+// Sends one request to a console over a blocking socket, with a timeout of 3 s for each read and write.
+// Throws std::runtime_error if the console cannot be reached or does not answer.
 http::Message CallConsole(const std::string& console, const std::string& method, const std::string& path);
-// Says on standard error what a console answered that is not 200; gives the exit status.
+// Prints a console answer other than 200 to standard error and returns the exit status.
 int ReportConsoleError(const std::string& console, const http::Message& answer);
-// What a call answers, for a table. Nothing where none is to be made: `raw`, and it was printed as it came,
-// or the console says no; `status` is the exit status then.
+// Requests `path` and returns the parsed JSON object. If `raw`, prints the body unchanged instead. Returns
+// nullopt after printing, or if the console answered with an error, and sets `status` to the exit status.
 std::optional<Json::Value> FetchConsoleJson(const std::string& console, const std::string& path, bool raw,
                                             int& status);
 
@@ -27,11 +27,12 @@
 std::string ClusterBody(const Node& node);
 std::string MembersBody(const Node& node);
 
-// Asks the console at `console` and prints a table, or what it said where `json`. Gives the exit status: 1
-// where the console says no; throws std::runtime_error where it cannot be asked.
+// Print the members as a table, or the console's JSON if `json`, and tell a member to leave its fleet. Both
+// return the exit status, 1 if the console answered with an error, and throw std::runtime_error if it cannot
+// be reached.
 int ShowMembers(const std::string& console, bool json);
 int LeaveFleet(const std::string& console);
 
 }  // namespace heronway::cluster
 
-#endif  // HERONWAY_CLUSTER_TOOL_H_
+#endif  // HERONWAY_CLUSTER_MEMBERS_TOOL_H_
--- a/src/cluster/membership/gossip.h
+++ b/src/cluster/membership/gossip.h
@@ -20,8 +20,8 @@
   // Queues an update, replacing any queued update about the same member.
   void Put(Update update);
   void Drop(const MemberId& id);
-  // Appends updates to `out` until `max_bytes` are used, and counts them as sent. An update is removed once it
-  // has been sent `max_sends` times. Updates about `except`, the receiving member, are left out.
+  // Appends updates to `out` until `max_bytes` are used, and counts them as sent. An update is removed once
+  // it has been sent `max_sends` times. Updates about `except`, the receiving member, are left out.
   void Fill(std::size_t max_bytes, int max_sends, const MemberId& except, std::vector<Update>& out);
   bool empty() const { return queue_.empty(); }
   std::size_t size() const { return queue_.size(); }
--- a/src/cluster/membership/member.h
+++ b/src/cluster/membership/member.h
@@ -11,9 +11,9 @@
 namespace heronway::cluster {
 
 using Micros = std::int64_t;  // times and durations, in microseconds
-// Identifies one run of a process among all that use the same member name; it increases with each start. It is
-// the Unix time in microseconds at the start, or, if the clock was set back, one more than the highest value
-// that the fleet remembers for the name.
+// Identifies one run of a process among all that use the same member name; it increases with each start. It
+// is the Unix time in microseconds at the start, or, if the clock was set back, one more than the highest
+// value that the fleet remembers for the name.
 using BootId = std::uint64_t;
 
 // Limits on values received from other members. A record that exceeds them is malformed.
--- a/src/cluster/membership/membership.cpp
+++ b/src/cluster/membership/membership.cpp
@@ -1,4 +1,4 @@
-// What is believed: records merged, suspicions, one's own name, exchanges of views.
+// Merging of received records, suspicions, handling of this member's own name, and exchanges of views.
 #include "src/cluster/membership/membership.h"
 
 #define XXH_INLINE_ALL
@@ -11,8 +11,8 @@
 namespace heronway::cluster {
 namespace {
 
-// Of what is seen as there: state and labels are not part of it, so that a suspicion that is refuted in time
-// makes no two views differ.
+// A present member's part of the view digest. State and labels are not included, so that views do not differ
+// because of a suspicion that is refuted in time.
 std::uint64_t HashOf(const MemberRecord& r) {
   const std::uint64_t numbers[] = {r.id.boot_id, r.incarnation};
   const std::uint64_t of_name = XXH3_64bits(r.id.name.data(), r.id.name.size());
@@ -24,7 +24,7 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kMaxJoinBackoff = 5 * kSecond;
 constexpr Micros kExchangeInterval = 30 * kSecond;
-constexpr Micros kRejoinInterval = 10 * kSecond;  // at those of `join` that no living member stands for
+constexpr Micros kRejoinInterval = 10 * kSecond;  // for `join` addresses that no living member has
 
 }  // namespace
 
@@ -52,13 +52,14 @@
 
 void Membership::Handle(Micros now, Event event, std::vector<Effect>& effects) {
   now_ = std::max(now_, now);
-  if (left_) {  // links that are still open are the host's to end
+  if (left_) {  // the host closes connections that are still open
     if (const auto* got = std::get_if<ExchangeReceived>(&event)) effects.push_back(CloseExchange{got->link});
     if (const auto* up = std::get_if<ExchangeConnected>(&event)) effects.push_back(CloseExchange{up->link});
     return;
   }
   effects_ = &effects;
-  // A process that stood still (stopped, swapped out, starved) must not judge others by what it missed.
+  // After a stall (stopped, swapped out, starved of CPU) the member must not suspect others because of
+  // messages that it missed itself.
   if (const Micros gap = now_ - next_tick_; gap > settings_.probe_period) HandleStall(gap);
   std::visit([this](auto& e) { On(e); }, event);
   effects_ = nullptr;
@@ -105,7 +106,7 @@
   }
 }
 
-// `schedulers`: of which about eight look at one witness's word.
+// `schedulers`: the number that share the probes after one observer's report.
 void Membership::HandleFacts(const std::vector<Fact>& facts, int schedulers) {
   std::vector<TargetAdvice> advice;
   for (const Fact& f : facts) target_gossip_.HandleFact(now_, f, schedulers, advice);
@@ -128,8 +129,6 @@
   SendGossip();
 }
 
-// ---- what is believed
-
 void Membership::RecordSender(const MemberRecord& from) {
   if (from.id.name.empty() || from.id == self_.id) return;
   joined_ = true;
@@ -138,7 +137,7 @@
   if (it != members_.end()) it->second.last_heard = now_;
 }
 
-// True where it was news.
+// Merges an update into the view. Returns true if it changed the view.
 bool Membership::ApplyUpdate(const Update& u, Source source) {
   const MemberRecord& r = u.record;
   if (r.id.name.empty() || r.id.boot_id > kMaxBootId || r.incarnation > kMaxIncarnation) return false;
@@ -146,8 +145,8 @@
   const auto it = members_.find(r.id);
   if (it == members_.end()) {
     if (IsSuperseded(r) || members_.size() >= kMaxMembers) return false;
-    // The dead are learnt from whole views alone, with their age: else word of them that comes late, or that
-    // members pass each other in turn, would never be forgotten.
+    // Dead members are learnt only from full views, which carry their age. Otherwise late gossip, or members
+    // that keep passing it to each other, would keep them from ever being forgotten.
     if (!IsPresent(r.state) && (source != Source::kExchange || u.age >= settings_.forget_after)) return false;
     Entry& entry = members_[r.id];
     entry.record = r;
@@ -166,7 +165,7 @@
   if (r.incarnation < entry.record.incarnation) return false;
   const bool newer = r.incarnation > entry.record.incarnation;
   if (source == Source::kExchange && (r.state == MemberState::kDead || r.state == MemberState::kSuspect)) {
-    // Another's whole view may be that of the far side of a cut: it is looked into, not believed.
+    // The full view may come from the far side of a partition, so the member is probed instead.
     if (IsPresent(entry.record.state) &&
         std::find(priority_probes_.begin(), priority_probes_.end(), r.id) == priority_probes_.end())
       priority_probes_.push_back(r.id);
@@ -175,7 +174,7 @@
   if (!newer) {
     if (r.state == MemberState::kAlive && entry.record.state == MemberState::kDead &&
         source == Source::kExchange)
-      retries_ = std::min(retries_ + 1, 64);  // somebody sees it: try again soon
+      retries_ = std::min(retries_ + 1, 64);  // another member sees it alive: retry soon
     if (r.state == MemberState::kSuspect && entry.record.state == MemberState::kSuspect) {
       Suspect(entry, u.suspected_by);
       return false;
@@ -188,8 +187,8 @@
     if (newer) ReplaceRecord(entry, alive, "refuted");
     const bool was_alive = entry.record.state == MemberState::kAlive;
     Suspect(entry, u.suspected_by);
-    // Lifeguard waits for others' usual probes to confirm a suspicion. Here about four members look at
-    // once: a dead member is given up sooner, and a living one is told by more ways that it is suspected.
+    // Lifeguard waits for the regular probes of other members to confirm a suspicion. Here about four members
+    // probe at once: a dead member is detected sooner, and a living one is notified over more paths.
     if (settings_.lifeguard && was_alive && RandomUnit() * static_cast<double>(present_) < 4)
       StartProbe(entry);
     return true;
@@ -199,7 +198,7 @@
   return true;
 }
 
-// A record under one's own name. True where it is of this very process.
+// Handles an update about this member's own name. Returns true if it concerns this process or its address.
 bool Membership::ApplyOwnNameUpdate(const Update& u) {
   const MemberRecord& r = u.record;
   if (r.id.boot_id == self_.id.boot_id) {
@@ -208,12 +207,12 @@
     return true;
   }
   if (r.endpoint == self_.endpoint) {
-    // Nobody else can be at this address: it is a life before this one, and where it is higher, the clock
-    // has stepped back since, or it is forged.
+    // No other process can have this address, so the record is of an earlier boot. If its boot id is higher,
+    // the clock has been set back since, or the record is forged.
     if (r.id.boot_id > self_.id.boot_id) AdoptBootId(r.id.boot_id + 1);
     return true;
   }
-  // A process that has just started is the newer one, whatever the clocks say.
+  // A process that has not joined yet is the newer one, whatever the clocks say.
   if (r.id.boot_id > self_.id.boot_id && !joined_) AdoptBootId(r.id.boot_id + 1);
   return false;
 }
@@ -221,14 +220,14 @@
 void Membership::Refute(std::uint32_t incarnation) {
   ++counters_.refuted;
   if (incarnation >= kMaxIncarnation)
-    return AdoptBootId(self_.id.boot_id + 1);  // no higher one is left in this life
+    return AdoptBootId(self_.id.boot_id + 1);  // this boot has no higher incarnation left
   self_.incarnation = incarnation + 1;
   AdjustHealth(1);
   QueueSelf();
 }
 
 void Membership::AdoptBootId(BootId boot_id) {
-  if (boot_id > kMaxBootId) return;  // no such life may be told; operators' page
+  if (boot_id > kMaxBootId) return;  // other members would reject the record; see the operators' page
   self_.id.boot_id = boot_id;
   self_.incarnation = 0;
   QueueSelf();
@@ -259,8 +258,8 @@
   if (entry.suspected_by.insert(suspected_by).second) QueueUpdate(entry.record, suspected_by);
 }
 
-// Lifeguard, section IV-B. The least time grows with the logarithm of the fleet, as news takes so long to
-// come round; it is what plain SWIM has for every suspicion.
+// Lifeguard, section IV-B. The shortest timeout grows with the logarithm of the fleet size, like the time
+// that gossip needs to reach all members; plain SWIM uses it for every suspicion.
 Micros Membership::SuspicionDeadline(const Entry& entry) const {
   const double min_timeout = static_cast<double>(settings_.probe_period) * (2 + 0.5 * LogFleetSize());
   const int max_confirmations = std::min<int>(kConfirmations, static_cast<int>(ring_.size()) - 1);
@@ -275,7 +274,7 @@
 
 void Membership::ExpireSuspicions() {
   for (auto it = suspects_.begin(); it != suspects_.end();) {
-    Entry& entry = members_.at(*it++);  // Set takes it out
+    Entry& entry = members_.at(*it++);  // ReplaceRecord removes it from suspects_
     if (now_ < SuspicionDeadline(entry)) continue;
     MemberRecord dead = entry.record;
     dead.state = MemberState::kDead;
@@ -287,7 +286,7 @@
 
 void Membership::ReplaceRecord(Entry& entry, const MemberRecord& record, const char* why) {
   const MemberState from = entry.record.state;
-  if (IsPresent(from) && IsPresent(record.state)) {  // its turn in the ring stays
+  if (IsPresent(from) && IsPresent(record.state)) {  // keeps its position in the ring
     digest_ -= entry.hash;
     digest_ += entry.hash = HashOf(record);
     if (record.state == MemberState::kSuspect) {
@@ -307,7 +306,7 @@
   entry.since = now_;
   if (from == MemberState::kDead && record.state == MemberState::kAlive) {
     ++counters_.false_verdicts;
-    // One that was cut off is back: its neighbours may be as well.
+    // A member behind a partition is reachable again: others may be as well.
     retries_ = std::min(retries_ + 4, 64);
   }
   effects_->push_back(MemberChanged{record, from, why});
@@ -334,7 +333,7 @@
   if (!IsPresent(entry.record.state)) return;
   if (entry.record.state == MemberState::kSuspect) suspects_.insert(entry.record.id);
   digest_ += entry.hash = HashOf(entry.record);
-  // At a place by chance, so that members do not probe in step (SWIM, section 4.3).
+  // At a random position, so that members do not probe in the same order (SWIM, section 4.3).
   const std::size_t at = RandomBelow(static_cast<std::uint32_t>(ring_.size()) + 1);
   ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(at), &entry);
   if (at < ring_index_) ++ring_index_;
@@ -350,7 +349,7 @@
   recount_needed_ = true;
 }
 
-// Older lives at the address of a newer one are over, whatever is said of them.
+// Removes older boots of the same name at the same address: they have ended, whatever is gossiped about them.
 void Membership::RemoveOlderBoots(const MemberRecord& newer) {
   for (auto it = members_.lower_bound(MemberId{newer.id.name, 0});
        it != members_.end() && it->first.name == newer.id.name && it->first.boot_id < newer.id.boot_id;) {
@@ -366,8 +365,6 @@
   return r.id.name == self_.id.name && r.id.boot_id < self_.id.boot_id && !IsPresent(r.state);
 }
 
-// ---- exchanges of whole views
-
 void Membership::BeginExchange(const std::string& name, Endpoint at, bool join) {
   ++counters_.exchanges;
   exchanged_at_ = now_;
@@ -387,7 +384,7 @@
   if ((initiated ? m.kind != MessageKind::kFullState
                  : m.kind != MessageKind::kDigest && m.kind != MessageKind::kFullState))
     return effects_->push_back(CloseExchange{e.link});
-  if (m.from.id == self_.id) {  // an address of `join` is one's own
+  if (m.from.id == self_.id) {  // an address in `join` is this member's own
     if (initiated) own_endpoints_.insert(own->second);
     if (m.kind == MessageKind::kDigest)
       effects_->push_back(SendExchange{e.link, MakeMessage(MessageKind::kFullState), true});
@@ -397,10 +394,11 @@
   const bool equal = m.digest == digest_;
   const auto requester = members_.find(m.from.id);
   const bool learning = requester == members_.end() || now_ - requester->second.first_seen < kLearningPeriod;
-  // Before Hear, which makes this member a joined one: its own name in the view may make it newer.
+  // Before RecordSender, which marks this member as joined: until then a record of its own name can make it
+  // adopt a higher boot id.
   for (const Update& u : m.updates) ApplyUpdate(u, Source::kExchange);
   RecordSender(m.from);
-  // Whatever a peer says of workers is for the time in which this one has seen little itself.
+  // A peer's observations of targets are used only while this member has few of its own.
   if (initiated && now_ - started_ < kLearningPeriod) HandleFacts(m.facts, 1);
   if (m.kind == MessageKind::kDigest) {
     Message answer = equal ? MakeMessage(MessageKind::kFullState) : FullState();
@@ -423,7 +421,7 @@
   return m;
 }
 
-// Views that differ while no news is on its way are compared whole.
+// Starts an exchange with the sender if the views differ although neither has changed recently.
 void Membership::CompareDigest(const Message& m) {
   const Micros settle_time = 2 * settings_.probe_period;
   if (m.digest == digest_ || now_ - changed_at_ < settle_time || now_ - exchanged_at_ < 2 * settle_time)
@@ -439,7 +437,8 @@
     for (const Entry* e : PickAlive(1, nullptr)) BeginExchange(e->record.id.name, e->record.endpoint);
   }
   if (settings_.join.empty() || now_ < next_join_) return;
-  // After they have joined as well: a fleet that was cut for longer than `forget` finds together this way.
+  // Also after joining: the parts of a fleet that was partitioned for longer than `forget_after` merge this
+  // way.
   next_join_ = now_ + Jitter(joined_ ? kRejoinInterval : join_backoff_);
   if (!joined_) join_backoff_ = std::min(2 * join_backoff_, kMaxJoinBackoff);
   const std::size_t attempts = joined_ ? 1 : settings_.join.size();
@@ -454,9 +453,7 @@
   }
 }
 
-// ---- names
-
-// Once a second: who is to be forgotten, and names under which two serve.
+// Once a second: forgets expired members and reports names used by two processes.
 void Membership::CheckNames() {
   if (now_ < next_name_check_) return;
   next_name_check_ = now_ + kSecond;
@@ -511,8 +508,6 @@
     effects_->push_back(QuorumStateChanged{quorum_filter_.quorum_state(), known_, present_});
 }
 
-// ---- looking in
-
 std::vector<MemberView> Membership::Members() const {
   std::vector<MemberView> all;
   MemberView own;
--- a/src/cluster/membership/probing.cpp
+++ b/src/cluster/membership/probing.cpp
@@ -1,4 +1,4 @@
-// Who is asked, and when: probes, helpers, the dead that are tried again, gossip on its way.
+// Scheduling of messages: probes, indirect probes, retries of dead members, and gossip.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr std::size_t kMaxRelayedPings = 64;
-constexpr std::size_t kGossipFanout = 3;  // members that a tick's gossip goes to
-constexpr int kMaxRetriesPerTick = 8;     // of the dead, while a cut heals
+constexpr std::size_t kGossipFanout = 3;  // members that receive gossip per tick
+constexpr int kMaxRetriesPerTick = 8;     // pings to dead members while a partition heals
 constexpr std::size_t kMaxMessageOverheadBytes =
-    170;  // of a message without updates, the texts of its sender left out
+    170;  // an encoded message without updates and without the sender's strings
 
 }  // namespace
 
 double Membership::RandomUnit() { return random_() * 0x1p-32; }
 
-// Half to one and a half of it.
+// Returns a random time between half and one and a half of `time`.
 Micros Membership::Jitter(Micros time) {
   return static_cast<Micros>(static_cast<double>(time) * (0.5 + RandomUnit()));
 }
@@ -42,8 +42,8 @@
   return m;
 }
 
-// With what there is to tell, and first of all what is held against the receiver, so that it can refute it
-// (Lifeguard, section IV-C; here for the dead as well, which is how a healed cut is noticed).
+// Sends a message with piggybacked gossip. A suspicion of the receiver goes first, so that it can refute it
+// (Lifeguard, section IV-C). Here a verdict does as well, which lets the fleet notice a healed partition.
 void Membership::Send(const MemberId& to, Endpoint at, Message m) {
   const std::size_t own = kMaxMessageOverheadBytes + self_.id.name.size() + self_.zone.size() +
                           self_.fronts.size() + m.target.name.size();
@@ -61,7 +61,8 @@
       (settings_.lifeguard || it->second.record.state == MemberState::kDead)) {
     add(it->second.record, self_.id.name);
   } else if (it == members_.end()) {
-    // It may be a life that is over here: it learns of the higher one, and takes one above it.
+    // The receiver may have a boot id that counts as ended here: it learns the higher one and adopts one
+    // above.
     const MemberView* newest = Find(to.name);
     if (newest != nullptr && newest->record.id.boot_id > to.boot_id && newest->record.endpoint == at)
       add(newest->record, {});
@@ -74,8 +75,6 @@
   effects_->push_back(SendDatagram{to.name, at, std::move(m)});
 }
 
-// ---- probes
-
 void Membership::ProbeNext() {
   while (!priority_probes_.empty()) {
     const auto it = members_.find(priority_probes_.front());
@@ -125,9 +124,9 @@
   std::erase_if(probes_, [this](const Probe& p) { return now_ >= p.deadline; });
   for (const Probe& p : failed) {
     ++counters_.probes_failed;
-    // Helpers that answered nothing either speak against this member's own state, not the target's. One step
-    // a probe, however many were silent: after a mass death most helpers are dead, and the living must not
-    // slow down for it.
+    // Missing nacks indicate a problem of this member rather than of the target. One step per probe, however
+    // many are missing: after a mass failure most relaying members are dead, and the survivors must not slow
+    // down because of that.
     if (p.requested == 0 || p.nacks < p.requested) AdjustHealth(1);
     const auto it = members_.find(p.target);
     if (it != members_.end() && it->second.record.state <= MemberState::kSuspect && leave_at_ < 0)
@@ -137,7 +136,7 @@
 
 void Membership::OnPing(const Message& m) {
   CompareDigest(m);
-  // A process that took the place of the one that is meant must not answer for it.
+  // A process that replaced the intended one must not answer for it.
   if (!m.target.name.empty() && m.target != self_.id)
     return Send(m.from.id, m.from.endpoint, MakeMessage(MessageKind::kGossip));
   Send(m.from.id, m.from.endpoint, MakeMessage(MessageKind::kAck, m.number));
@@ -194,8 +193,8 @@
   std::erase_if(relayed_pings_, [this](const RelayedPing& h) { return now_ >= h.deadline; });
 }
 
-// The dead are tried again, so that a healed cut needs no operator: one every few periods, and more at once
-// while such tries succeed.
+// Pings dead members again, so that a healed partition needs no operator: one every few periods, and more at
+// once while such pings succeed.
 void Membership::RetryDead() {
   if (dead_.empty() || leave_at_ >= 0) {
     retries_ = 0;
@@ -221,8 +220,8 @@
     Send(to->record.id, to->record.endpoint, MakeMessage(MessageKind::kGossip));
 }
 
-// What this member missed meanwhile speaks against itself: probes under way are void, suspicions are given
-// the time again, and it accuses slowly until its probes succeed.
+// The member may have missed messages during the stall, so it cancels probes in flight, extends suspicions by
+// the gap, and suspects more slowly until its probes succeed.
 void Membership::HandleStall(Micros gap) {
   next_tick_ = now_;
   if (!settings_.lifeguard) return;
@@ -234,10 +233,10 @@
   AdjustHealth(2);
 }
 
-// Living members, each at most once.
+// Picks up to `count` distinct members at random that are alive and not suspected.
 std::vector<Membership::Entry*> Membership::PickAlive(std::size_t count, const MemberId* except) {
   std::vector<Entry*> picked;
-  // Enough draws to find them in a fleet of which half is suspected; a small one is looked through.
+  // Enough draws to find them in a fleet of which half is suspected; in a small fleet, to see every member.
   for (std::size_t n = 0; n < 8 * count + 8 && picked.size() < count && !ring_.empty(); ++n) {
     Entry* e = ring_[RandomBelow(static_cast<std::uint32_t>(ring_.size()))];
     if (e->record.state != MemberState::kAlive || (except != nullptr && e->record.id == *except)) continue;
--- a/src/cluster/membership/quorum_state.h
+++ b/src/cluster/membership/quorum_state.h
@@ -45,9 +45,9 @@
 };
 
 // The number of schedulers that the decision module uses. It follows growth at once, because each scheduler
-// may then do less. It falls at most by half in `halving_time`, and never below `min_size`. When most of a fleet
-// dies, the survivors must not triple the load they put on cold workers in one step, and a flapping member
-// must not change their shares.
+// may then do less. It falls at most by half in `halving_time`, and never below `min_size`. When most of a
+// fleet dies, the survivors must not triple the load they put on cold workers in one step, and a flapping
+// member must not change their shares.
 class SmoothedFleetSize {
  public:
   SmoothedFleetSize(int min_size, Micros halving_time)
--- a/src/cluster/net/codec.cpp
+++ b/src/cluster/net/codec.cpp
@@ -7,7 +7,7 @@
 
 using pack::Packer;
 
-// The first three members of every version: mark, version, fleet.
+// Every version of the format starts with three elements: magic, version, fleet.
 constexpr const char* kMagic = "hwc";
 
 void Pack(Packer& out, const MemberId& id) { out.pack_array(2).pack(id.name).pack(id.boot_id); }
@@ -36,7 +36,8 @@
   using pack::ArrayReader::ArrayReader;
   std::string ReadText(std::size_t max_bytes) {
     std::string text = Next().as<std::string>();
-    // Guards the log, the console and the operators' terminals: such texts are printed.
+    // These strings are printed to logs, the console and terminals, so control and quote characters are
+    // rejected.
     for (const char c : text) Require(c > ' ' && c < 127 && c != '"' && c != '\\');
     Require(text.size() <= max_bytes);
     return text;
@@ -130,7 +131,7 @@
                                          std::size_t max_bytes) {
   if (bytes.size() > max_bytes) return DropReason::kOversized;
   try {
-    // Guards memory: what such a message cannot have is refused before room is made for it.
+    // Rejects sizes that no valid message has before memory is allocated for them.
     const msgpack::unpack_limit limit(kMaxMembers, 0, kMaxFrontsBytes, 0, 0, 8);
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
     if (whole->type != msgpack::type::ARRAY || whole->via.array.size < 3) return DropReason::kForeign;
--- a/src/cluster/net/codec.h
+++ b/src/cluster/net/codec.h
@@ -1,4 +1,5 @@
-// Members' messages as MessagePack, version 1. What is not one, or not for this fleet, is told by reason.
+// Encodes and decodes messages between members as MessagePack, version 1. Input that is not a valid message
+// for this fleet is rejected with a reason.
 #ifndef HERONWAY_CLUSTER_NET_CODEC_H_
 #define HERONWAY_CLUSTER_NET_CODEC_H_
 
@@ -11,22 +12,24 @@
 namespace heronway::cluster {
 
 enum class DropReason : std::uint8_t {
-  kMalformed,  // not MessagePack, cut, of other types, or with values out of their bounds
-  kOversized,  // more bytes than such a message may have
-  kForeign,    // of another fleet, or no message of such a fleet at all
-  kNewer,      // of a later version of the protocol
+  kMalformed,  // not MessagePack, truncated, of wrong types, or with values out of range
+  kOversized,  // longer than the limit for this kind of transport
+  kForeign,    // from another fleet, or not a membership message at all
+  kNewer,      // a later protocol version
 };
 inline constexpr int kDropReasons = 4;
-constexpr const char* Name(DropReason drop) {
+// The name of the reason in logs and metrics.
+constexpr const char* Name(DropReason reason) {
   constexpr const char* kNames[] = {"malformed", "oversized", "foreign", "newer"};
-  return kNames[static_cast<int>(drop)];
+  return kNames[static_cast<int>(reason)];
 }
 
-inline constexpr std::size_t kMaxExchangeBytes = 1024 * 1024;  // bytes of a whole view
+inline constexpr std::size_t kMaxExchangeBytes = 1024 * 1024;  // of one message in an exchange
 
 std::string Encode(std::string_view fleet, const Message& message);
-// `most`: bytes that it may have.
-std::variant<Message, DropReason> Decode(std::string_view fleet, std::string_view bytes, std::size_t most);
+// `max_bytes`: the limit for the length of `bytes`.
+std::variant<Message, DropReason> Decode(std::string_view fleet, std::string_view bytes,
+                                         std::size_t max_bytes);
 
 }  // namespace heronway::cluster
 
--- a/src/cluster/net/node.cpp
+++ b/src/cluster/net/node.cpp
@@ -13,9 +13,9 @@
 namespace heronway::cluster {
 namespace {
 
-constexpr std::uint64_t kAcceptedLink = std::uint64_t{1} << 63;  // marks links that others began
-constexpr std::size_t kLengthBytes = 4;                          // a message's length, in network order
-constexpr int kPortAttempts = 32;                                // where any port will do
+constexpr std::uint64_t kAcceptedLink = std::uint64_t{1} << 63;  // set in the handles of accepted links
+constexpr std::size_t kLengthBytes = 4;  // the length prefix of a message, in network byte order
+constexpr int kPortAttempts = 32;        // if the configured port is 0
 
 BootId NewBootId() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-// One exchange's connection. A message is its length and its bytes.
+// The connection of one exchange. Each message is preceded by its length.
 struct Node::Link : net::Stream::Owner {
   Link(Node& owner, std::uint64_t id_, int fd, const net::Address& from)
       : node(owner),
@@ -81,7 +81,7 @@
   net::Timer timer;
   net::Stream stream;
   std::string in;
-  bool gone = false, closing = false;  // closing: once all is written
+  bool gone = false, closing = false;  // closing: close once all output is written
   std::list<std::shared_ptr<Link>>::iterator position;
 };
 
@@ -104,9 +104,11 @@
   self_.zone = options_.zone.empty() ? zone : options_.zone;
   self_.fronts = fronts;
   if (self_.id.name.empty() || !IsPlainToken(self_.id.name, kMaxNameBytes))
-    throw std::runtime_error("cluster.name: \"" + self_.id.name + "\" cannot be told to others");
+    throw std::runtime_error("cluster.name: \"" + self_.id.name +
+                             "\" is empty, too long, or has characters that are not allowed in messages");
   if (!IsPlainToken(self_.zone, kMaxZoneBytes))
-    throw std::runtime_error("cluster.zone: \"" + self_.zone + "\" cannot be told to others");
+    throw std::runtime_error("cluster.zone: \"" + self_.zone +
+                             "\" is too long or has characters that are not allowed in messages");
   if (!IsPlainToken(self_.fronts, kMaxFrontsBytes)) self_.fronts.clear();
   Bind();
   net::Address advertised = options_.advertise;
@@ -116,11 +118,11 @@
   return self_;
 }
 
-// Both sockets at one address. Not SO_REUSEPORT for the datagrams: two processes that share them would each
-// hear half of what is meant for one. Guards a `listen` with port 0 against a number that is free for
-// datagrams alone: any other process's connection may have it, so another one is asked for.
+// Binds both sockets to one address. The UDP socket does not use SO_REUSEPORT: two processes that share a
+// port would each receive half of the datagrams. With port 0 in `listen`, the kernel may choose a UDP port
+// whose TCP port is in use by another process's connection, so binding is retried with another port.
 void Node::Bind() {
-  for (int tries = options_.listen.sin_port == 0 ? kPortAttempts : 1;; --tries) {
+  for (int attempts = options_.listen.sin_port == 0 ? kPortAttempts : 1;; --attempts) {
     bound_ = options_.listen;
     socklen_t size = sizeof bound_;
     fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -134,7 +136,7 @@
       return;
     } catch (const std::exception& e) {
       if (fd_ >= 0) close(fd_);
-      if (tries <= 1) throw std::runtime_error(std::string("cluster.listen: ") + e.what());
+      if (attempts <= 1) throw std::runtime_error(std::string("cluster.listen: ") + e.what());
     }
   }
 }
@@ -220,7 +222,7 @@
   const net::Address to =
       override_address == options_.address_overrides.end() ? ToAddress(send.to) : override_address->second;
   const std::string bytes = Encode(options_.fleet, send.message);
-  // A datagram that does not fit into the socket's buffer is lost like any other: nothing waits for it.
+  // A datagram that does not fit into the socket's send buffer is dropped; the protocol tolerates loss.
   if (sendto(fd_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
              reinterpret_cast<const sockaddr*>(&to), sizeof to) < 0) {
     ++datagrams_unsent_;
@@ -230,7 +232,8 @@
   bytes_out_ += bytes.size();
 }
 
-// Guards the other work of the loop: a flood is read a part a turn, and what the socket cannot hold is lost.
+// Reads a bounded number of datagrams per turn, so that a flood does not starve the other work of the loop.
+// The kernel drops what exceeds the socket's receive buffer.
 void Node::ReadDatagrams() {
   char bytes[Membership::kMaxDatagramBytes + 1];
   for (int n = 0; n < kDatagramsPerTurn; ++n) {
@@ -238,7 +241,7 @@
     socklen_t size = sizeof from;
     const ssize_t got =
         recvfrom(fd_, bytes, sizeof bytes, MSG_DONTWAIT, reinterpret_cast<sockaddr*>(&from), &size);
-    if (got < 0) return;  // nothing more; or a port that was closed said so
+    if (got < 0) return;  // no more datagrams, or an ICMP error for one that was sent
     ++datagrams_in_;
     bytes_in_ += static_cast<std::uint64_t>(got);
     auto read = Decode(options_.fleet, {bytes, static_cast<std::size_t>(got)}, Membership::kMaxDatagramBytes);
--- a/src/cluster/net/node.h
+++ b/src/cluster/net/node.h
@@ -1,6 +1,7 @@
-// A member on sockets: one UDP socket, one TCP listener for exchanges, on the program's loop. It decides
-// nothing: the core does, and this carries out its effects. Nothing it does blocks, and all it holds is
-// bounded: kMostLinks exchanges, each for kLinkTime and kMostExchange bytes; kDatagramsATurn read a turn.
+// Runs a Membership core on sockets: one UDP socket and one TCP listener for exchanges, on the program's
+// event loop. The core makes all decisions, and the node executes its effects. No call blocks, and resources
+// are bounded: at most kMaxLinks exchange connections, each open for at most kLinkTimeout and with messages
+// of at most kMaxExchangeBytes, and kDatagramsPerTurn datagrams read per turn of the loop.
 #ifndef HERONWAY_CLUSTER_NET_NODE_H_
 #define HERONWAY_CLUSTER_NET_NODE_H_
 
@@ -23,29 +24,30 @@
 class Node {
  public:
   struct Callbacks {
-    // The standing, or the number of schedulers to reckon with, has changed.
+    // Called when the quorum state or the smoothed number of schedulers has changed.
     std::function<void(QuorumState standing, int schedulers)> on_quorum_change;
-    // Others' news of a worker call for a look.
+    // Called when gossip about a target suggests an action; may be null.
     std::function<void(const TargetAdvice& advice)> on_advice = nullptr;
-    int min_schedulers = 1;  // the number never falls below
+    int min_schedulers = 1;  // lower bound of the smoothed number of schedulers
   };
   static constexpr std::size_t kMaxLinks = 16;
-  static constexpr std::size_t kMaxDescriptors = kMaxLinks + 2;  // to be taken off the clients' share
+  static constexpr std::size_t kMaxDescriptors = kMaxLinks + 2;  // reserved from the limit for clients
   static constexpr Micros kLinkTimeout = 5'000'000;
   static constexpr Micros kConnectTimeout = 1'000'000;
   static constexpr int kDatagramsPerTurn = 64;
-  static constexpr Micros kDropLogInterval = 1'000'000;    // a line a reason
-  static constexpr Micros kFleetSizeHalving = 30'000'000;  // of the number of schedulers, at most
+  static constexpr Micros kDropLogInterval = 1'000'000;  // between log lines for the same reason
+  static constexpr Micros kFleetSizeHalving =
+      30'000'000;  // the number of schedulers falls at most by half in this
 
-  // `name`, `zone`: the scheduler's, where the options have none. Throws std::runtime_error where it cannot
-  // listen, and where a name cannot be told.
+  // `name`, `zone`: the scheduler's, used if the options have none. Throws std::runtime_error if it cannot
+  // listen, or if the name or zone is not allowed in messages.
   Node(net::Shared& shared, const Options& options, const std::string& name, const std::string& zone,
        const std::string& fronts, std::uint64_t seed, Callbacks callbacks);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  void Leave();
+  void Leave();  // announces a planned leave
   void Observe(const TargetObservation& observation) { Post(observation); }
   const Membership& core() const { return core_; }
   const std::string& fleet() const { return options_.fleet; }
@@ -53,7 +55,7 @@
   Micros Now() const { return shared_.loop.Now(); }
   int schedulers() const { return fleet_size_.size(); }
   std::size_t unused_connections() const { return kMaxLinks - std::min(kMaxLinks, links_.size()); }
-  // For the figures: NAME and value.
+  // Names and values of the cluster metrics.
   std::vector<std::pair<std::string, std::uint64_t>> Metrics() const;
 
  private:
@@ -84,7 +86,7 @@
   int reported_schedulers_ = 0;
   net::DescriptorWatch io_;
   net::Timer tick_;
-  std::list<std::shared_ptr<Link>> links_;  // the oldest in front
+  std::list<std::shared_ptr<Link>> links_;  // the oldest is at the front
   std::uint64_t last_link_ = 0;
   struct DropLog {
     std::uint64_t count = 0, logged = 0;
--- a/src/cluster/net/options.h
+++ b/src/cluster/net/options.h
@@ -1,4 +1,5 @@
-// The section `cluster` of the operators' file (docs/operators-cluster.md has every key).
+// The section `cluster` of the options file (docs/operators-cluster.md documents every key). Keys that differ
+// from the field names are in src/config/options.cpp.
 #ifndef HERONWAY_CLUSTER_NET_OPTIONS_H_
 #define HERONWAY_CLUSTER_NET_OPTIONS_H_
 
@@ -13,19 +14,20 @@
 
 struct Options {
   bool enabled = false;
-  std::string fleet;         // members of other fleets are not heard
-  std::string name;          // empty: the scheduler's
-  std::string zone;          // empty: the scheduler's
-  net::Address listen{};     // datagrams and exchanges; port 0: any
-  net::Address advertise{};  // where others reach it; port 0: as bound
+  std::string fleet;         // messages from other fleets are dropped
+  std::string name;          // empty: the scheduler's name
+  std::string zone;          // empty: the scheduler's zone
+  net::Address listen{};     // UDP and TCP; port 0: any free port
+  net::Address advertise{};  // where others reach this member; port 0: the bound port
   std::vector<net::Address> join;
-  std::map<std::string, net::Address>
-      address_overrides;          // by member: the way there, before what that one advertises
+  // By member name: where to reach a member, instead of the address it advertises.
+  std::map<std::string, net::Address> address_overrides;
   Micros probe_period = 500'000;  // 50 ms to 10 s
-  int copies = 1;                 // of what is durable here, one's own included; 1: none else
-  net::Address copies_listen{};   // connections for copies
-  std::map<std::string, net::Address> copies_address_overrides;  // as `reach`
-  Micros takeover_delay = 0;  // from a verdict until the dead member's jobs are run by another; 0: never
+  int copies = 1;                 // of durable jobs, including the local one; 1: no replicas
+  net::Address copies_listen{};   // where connections from other members' copies are accepted
+  std::map<std::string, net::Address> copies_address_overrides;  // as `address_overrides`
+  // From a verdict until another member runs the dead member's jobs; 0: never.
+  Micros takeover_delay = 0;
   Micros forget_after = 24 * 3600'000'000LL;  // 10 s to 30 days
 };
 
@@ -37,12 +39,13 @@
   out.sin_port = htons(at.port);
   return out;
 }
-// A text that may stand in a message and in a log line as it is.
-inline bool IsPlainToken(const std::string& text, std::size_t most) {
+// Whether `text` can appear in messages and log lines without quoting: printable ASCII without blanks, quotes
+// and backslashes, at most `max_bytes` long.
+inline bool IsPlainToken(const std::string& text, std::size_t max_bytes) {
   for (const char c : text) {
     if (c <= ' ' || c >= 127 || c == '"' || c == '\\') return false;
   }
-  return text.size() <= most;
+  return text.size() <= max_bytes;
 }
 
 }  // namespace heronway::cluster
--- a/src/cluster/target_gossip/target_gossip.cpp
+++ b/src/cluster/target_gossip/target_gossip.cpp
@@ -75,9 +75,9 @@
   }
 }
 
-// Limits the effect of a wrong peer. Its report of free capacity is replaced by the first own observation, and
-// is ignored for a target that this scheduler has observed or that some member reports as failing. Its report
-// of no free capacity leads to a probe instead of avoiding the target.
+// Limits the effect of a wrong peer. Its report of free capacity is replaced by the first own observation,
+// and is ignored for a target that this scheduler has observed or that some member reports as failing. Its
+// report of no free capacity leads to a probe instead of avoiding the target.
 void TargetGossip::HandleLoad(Micros now, const Fact& fact, std::vector<TargetAdvice>& advice) {
   if (fact.observer == self_ || fact.age > kLoadMaxAge) return;
   Target& t = GetOrCreate(now, fact.target);
--- a/src/cluster/target_gossip/target_gossip.h
+++ b/src/cluster/target_gossip/target_gossip.h
@@ -1,6 +1,6 @@
-// Gossip about targets (workers) among schedulers, so that not every scheduler has to find out by a request of
-// its own that a target failed or restarted. Does no I/O and reads no clock; deterministic for a seed. It only
-// advises which targets to probe; the decision module decides by the result of the probe.
+// Gossip about targets (workers) among schedulers, so that not every scheduler has to find out by a request
+// of its own that a target failed or restarted. Does no I/O and reads no clock; deterministic for a seed. It
+// only advises which targets to probe; the decision module decides by the result of the probe.
 //
 //  - Own observations take precedence: a target that answered this scheduler after the gossiped observation
 //    was made is not suspected.
@@ -8,9 +8,9 @@
 //    report a few schedulers probe; after a second one all do.
 //  - A restart is accepted once two independent observers agree, and it only makes a target colder. Gossip
 //    never makes a target warmer than this scheduler knows it to be.
-//  - A member that has just started receives a peer's own observations: failing targets, cold targets and last
-//    load reports. A report of free capacity is passed to the module with its age, only for targets that this
-//    scheduler has not observed itself, and from at most two peers, the second one only if it is worse.
+//  - A member that has just started receives a peer's own observations: failing targets, cold targets and
+//    last load reports. A report of free capacity is passed to the module with its age, only for targets that
+//    this scheduler has not observed itself, and from at most two peers, the second one only if it is worse.
 //    A report of no free capacity leads to a probe.
 //  - Facts carry their age, which grows on the way, and expire. Clocks of members are not compared.
 #ifndef HERONWAY_CLUSTER_TARGET_GOSSIP_TARGET_GOSSIP_H_
@@ -53,7 +53,8 @@
   TargetGossip(std::string_view self, std::uint64_t seed);
   static std::uint64_t HashOf(std::string_view name);
 
-  // Records an observation of this scheduler and queues it. `since`: kStarted only, Unix time in microseconds.
+  // Records an observation of this scheduler and queues it. `since`: kStarted only, Unix time in
+  // microseconds.
   void RecordEvent(Micros now, FactKind kind, std::uint64_t target, Micros since = 0);
   // Records that the target answered this scheduler.
   void RecordHealthy(Micros now, std::uint64_t target);
