--- a/bench/cluster/fleet_sim.cpp
+++ b/bench/cluster/fleet_sim.cpp
@@ -1,9 +1,9 @@
-// Measures the membership core in virtual time. Each row is played over several seeds in one run.
+// Measures the membership core in virtual time. detect and heal repeat their scenario with several seeds.
 //
-//   fleet_sim detect --members 100 --plays 100    death to first suspicion, and to the last living verdict
-//   fleet_sim quiet  --members 100                bytes, datagrams and CPU a member a second
-//   fleet_sim false  --members 100 --loss 0.05    wrong verdicts, with the Lifeguard parts and without
-//   fleet_sim heal   --members 100 --cut-s 10     from the end of a cut in halves to equal views
+//   fleet_sim detect --members 100 --plays 100    from a death to the first suspicion and the last verdict
+//   fleet_sim quiet  --members 100                bytes, datagrams and CPU time per idle member and second
+//   fleet_sim false  --members 100 --loss 0.05    false verdicts with and without Lifeguard
+//   fleet_sim heal   --members 100 --cut-s 10     from the end of a partition to equal views
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -31,7 +31,7 @@
 
 double CpuSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
-// A fleet that has come together and is quiet.
+// Starts all members and waits until their views are equal and gossip has ended.
 void JoinAll(World& world) {
   for (int i = 0; i < world.size(); ++i) world.Start(i);
   const Micros until = world.now() + 60 * kSecond;
@@ -50,7 +50,7 @@
     options.seed = static_cast<std::uint64_t>(run) + 1;
     World world(options);
     JoinAll(world);
-    world.RunUntil(world.now() + run * 7'919);  // no play dies at the same phase
+    world.RunUntil(world.now() + run * 7'919);  // so that members die at different phases of the probe period
     const Micros died = world.now();
     const int victim = options.members / 2;
     int verdicts = 0;
@@ -109,7 +109,7 @@
       if (c.record.state == MemberState::kSuspect) ++suspicions;
       if (c.record.state != MemberState::kDead) return;
       ++views;
-      // One verdict, however many come to share it.
+      // Counts a verdict once, however many members adopt it.
       const auto [it, fresh] = counted.try_emplace(c.record.id, c.record.incarnation);
       if (fresh || it->second < c.record.incarnation) ++verdicts;
       it->second = std::max(it->second, c.record.incarnation);
@@ -118,7 +118,7 @@
     while (world.now() < until) {
       world.RunUntil(world.now() + kSecond / 2);
       for (int i = 0; stalls && i < world.size(); i += 10) {
-        if (random(6) == 0)  // every 3 s
+        if (random(6) == 0)  // every 3 s on average
           world.Pause(i, world.now() + 100'000 + static_cast<Micros>(random(140'000)));
       }
     }
@@ -161,7 +161,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"fleet_sim: the membership core in virtual time"};
+  CLI::App app{"fleet_sim: measures the membership core in virtual time"};
   app.require_subcommand(1);
   World::Options options;
   int runs = 20, seconds = 60, cut_s = 10;
--- a/bench/cluster/world.cpp
+++ b/bench/cluster/world.cpp
@@ -8,8 +8,8 @@
 namespace heronway::cluster {
 namespace {
 
-constexpr std::uint64_t kAcceptedLink = std::uint64_t{1}
-                                        << 63;  // marks the handles of links that others began
+// Set in the handles of accepted links.
+constexpr std::uint64_t kAcceptedLink = std::uint64_t{1} << 63;
 constexpr std::uint16_t kPort = 7946;
 
 }  // namespace
@@ -77,13 +77,13 @@
     now_ = std::max(now_, d.at);
     Node& n = nodes_[Index(d.node)];
     if (!n.up || d.run != n.run) continue;
-    if (n.paused_until > now_) {  // in its order, once it runs again
+    if (n.paused_until > now_) {  // delivered in order once the member resumes
       d.at = n.paused_until;
       scheduled_.push(std::move(d));
       continue;
     }
     const bool tick = std::holds_alternative<Tick>(*d.event);
-    if (tick && n.due >= 0 && n.due > now_) continue;  // replaced by a later one
+    if (tick && n.due >= 0 && n.due > now_) continue;  // replaced by a later WakeAt
     Post(d.node, std::move(*d.event));
     if (done && done()) return;
   }
@@ -125,7 +125,7 @@
       if (options_.count_bytes) n.exchange_bytes += Encode("fleet", message->message).size();
       if (nodes_[Index(to)].up && nodes_[Index(to)].run == (began ? l.to_run : l.from_run) && link(i, to))
         return Schedule(Delay(), to, ExchangeReceived{their, std::move(message->message)});
-      Schedule(options_.probe_period, i, ExchangeClosed{handle});  // its host gives it up in time
+      Schedule(options_.probe_period, i, ExchangeClosed{handle});  // the host closes it after a timeout
       links_.erase(it);
     } else {
       Schedule(Delay(), to, ExchangeClosed{their});
--- a/bench/cluster/world.h
+++ b/bench/cluster/world.h
@@ -1,5 +1,5 @@
-// A fleet of the pure membership cores in virtual time, deterministic for a seed: links that lose, delay and
-// are cut, members that stall, die and come back. No threads, no sockets, no clock.
+// Simulates a fleet of Membership cores in virtual time, deterministic for a seed: links with loss, delay and
+// partitions; members that stall, die and return. Uses no threads, sockets or clock.
 #ifndef HERONWAY_BENCH_CLUSTER_WORLD_H_
 #define HERONWAY_BENCH_CLUSTER_WORLD_H_
 
@@ -22,26 +22,26 @@
     Micros probe_period = 500'000;
     Micros forget_after = 24 * 3600'000'000LL;
     bool lifeguard = true;
-    double loss_rate = 0;       // of datagrams, each way
-    double duplicate_rate = 0;  // of datagrams that come twice
+    double loss_rate = 0;       // of datagrams, in each direction
+    double duplicate_rate = 0;  // share of datagrams that are delivered twice
     Micros min_delay = 200, max_delay = 1'000;
-    std::uint16_t join_port = 0;  // at which members are asked to join; 0: where they listen
-    bool count_bytes = false;     // encodes every message
+    std::uint16_t join_port = 0;  // port used in join addresses; 0: the members' own
+    bool count_bytes = false;     // encodes every message to measure its size
   };
   struct Node {
     std::unique_ptr<Membership> core;
     MemberRecord self;
     bool up = false;
-    Micros paused_until = 0;  // stopped; what comes meanwhile waits
-    Micros clock_offset = 0;  // of the wall clock that gives it its life
-    Micros due = -1;          // its wake
-    std::uint64_t run = 0;    // of the process: what is meant for an earlier one is lost
+    Micros paused_until = 0;  // suspended until then; events are delivered afterwards
+    Micros clock_offset = 0;  // of the wall clock from which the boot id is taken
+    Micros due = -1;          // the time of its next Tick; -1: none
+    std::uint64_t run = 0;    // counts starts; events for an earlier run are dropped
     std::uint64_t datagrams = 0, bytes = 0, exchange_bytes = 0;
   };
   explicit World(const Options& options);
 
   void Start(int node, std::vector<int> join = {0});
-  void Kill(int node);  // without a word
+  void Kill(int node);  // without announcing it
   void Leave(int node) { Post(node, cluster::Leave{}); }
   void Pause(int node, Micros until) { nodes_[Index(node)].paused_until = until; }
   void RunUntil(Micros until, const std::function<bool()>& done = {});
@@ -51,13 +51,13 @@
   Micros now() const { return now_; }
   Node& node(int i) { return nodes_[Index(i)]; }
   int size() const { return static_cast<int>(nodes_.size()); }
-  // Whether `from` sees any life of `of` as there.
+  // Whether the newest boot of `of` is alive or suspected in the view of `from`.
   bool IsPresentInView(int from, int of) const;
   MemberState StateInView(int from, int of) const;
-  bool ViewsEqual() const;  // of all that are up
-  // A datagram, or a byte of an exchange, from one to another goes through; may change in time.
+  bool ViewsEqual() const;  // among the members that are up
+  // Whether `from` can send to `to`, by datagram or exchange; may change over time.
   std::function<bool(int from, int to)> link = [](int, int) { return true; };
-  // Called at each change of a view; and at each datagram, which it may hold back (false: it is lost).
+  // Called for the effects of the same name. `intercept` is called for each datagram, and drops it if false.
   std::function<void(int node, const MemberChanged&)> on_member_changed = [](int, const MemberChanged&) {};
   std::function<void(int node, const QuorumStateChanged&)> on_quorum_state_changed =
       [](int, const QuorumStateChanged&) {};
@@ -71,7 +71,7 @@
     std::uint64_t serial;
     int node;
     std::uint64_t run;
-    std::shared_ptr<Event> event;  // null: its wake
+    std::shared_ptr<Event> event;  // never null
     bool operator>(const ScheduledEvent& o) const { return at != o.at ? at > o.at : serial > o.serial; }
   };
   struct Link {
--- a/src/cluster/membership/member.h
+++ b/src/cluster/membership/member.h
@@ -98,7 +98,7 @@
   MemberRecord from;         // the sender's record of itself
   std::uint64_t digest = 0;  // of the sender's view
   MemberId target;           // ping and ping-req: the intended receiver; with an empty name: any receiver
-  Endpoint target_at;        // ping-req: where to reach `target`
+  Endpoint target_endpoint;  // ping-req: where to reach `target`
   std::vector<Update> updates;
   std::vector<Fact> facts;
 };
--- a/src/cluster/membership/membership.cpp
+++ b/src/cluster/membership/membership.cpp
@@ -24,7 +24,7 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kMaxJoinBackoff = 5 * kSecond;
 constexpr Micros kExchangeInterval = 30 * kSecond;
-constexpr Micros kRejoinInterval = 10 * kSecond;  // for `join` addresses that no living member has
+constexpr Micros kRejoinInterval = 10 * kSecond;  // for `join` addresses that no present member has
 
 }  // namespace
 
@@ -112,7 +112,7 @@
   for (const Fact& f : facts) target_gossip_.HandleFact(now_, f, schedulers, advice);
   counters_.facts += facts.size();
   counters_.advice += advice.size();
-  for (const TargetAdvice& h : advice) effects_->push_back(AdviceGiven{h});
+  for (const TargetAdvice& a : advice) effects_->push_back(AdviceGiven{a});
 }
 
 void Membership::On(TargetObservation& e) {
@@ -137,7 +137,7 @@
   if (it != members_.end()) it->second.last_heard = now_;
 }
 
-// Merges an update into the view. Returns true if it changed the view.
+// Merges an update into the view. Returns true if it was new.
 bool Membership::ApplyUpdate(const Update& u, Source source) {
   const MemberRecord& r = u.record;
   if (r.id.name.empty() || r.id.boot_id > kMaxBootId || r.incarnation > kMaxIncarnation) return false;
--- a/src/cluster/membership/membership.h
+++ b/src/cluster/membership/membership.h
@@ -249,8 +249,8 @@
   std::uint32_t last_number_;
   Micros next_probe_, next_tick_, next_retry_, next_exchange_, next_join_, next_name_check_;
   int retries_ = 0;  // extra pings to dead members, on top of the usual rate
-  std::map<std::uint64_t, Endpoint>
-      exchanges_;  // those that this member started, with the `join` address if it was used
+  // Exchanges that this member started, by link; the endpoint is set if it is an address in `join`.
+  std::map<std::uint64_t, Endpoint> exchanges_;
   std::uint64_t last_link_ = 0;
   std::set<Endpoint> own_endpoints_;  // addresses in `join` that turned out to be this member's
   std::size_t join_index_ = 0;
--- a/src/cluster/membership/probing.cpp
+++ b/src/cluster/membership/probing.cpp
@@ -11,8 +11,8 @@
 constexpr std::size_t kMaxRelayedPings = 64;
 constexpr std::size_t kGossipFanout = 3;  // members that receive gossip per tick
 constexpr int kMaxRetriesPerTick = 8;     // pings to dead members while a partition heals
-constexpr std::size_t kMaxMessageOverheadBytes =
-    170;  // an encoded message without updates and without the sender's strings
+// Of an encoded message without updates and without the sender's strings.
+constexpr std::size_t kMaxMessageOverheadBytes = 170;
 
 }  // namespace
 
@@ -115,7 +115,7 @@
         ++counters_.indirect;
         Message ask = MakeMessage(MessageKind::kPingReq, p.number);
         ask.target = p.target;
-        ask.target_at = target->second.record.endpoint;
+        ask.target_endpoint = target->second.record.endpoint;
         Send(relay->record.id, relay->record.endpoint, std::move(ask));
       }
     }
@@ -149,7 +149,7 @@
                                        now_ + TickInterval(), now_ + settings_.probe_period, false});
   Message ping = MakeMessage(MessageKind::kPing, number);
   ping.target = m.target;
-  Send(m.target, m.target_at, std::move(ping));
+  Send(m.target, m.target_endpoint, std::move(ping));
 }
 
 void Membership::OnAck(const Message& m) {
--- a/src/cluster/net/codec.cpp
+++ b/src/cluster/net/codec.cpp
@@ -119,7 +119,7 @@
   Pack(out, m.from);
   out.pack(m.digest);
   Pack(out, m.target);
-  Pack(out, m.target_at);
+  Pack(out, m.target_endpoint);
   out.pack_array(static_cast<std::uint32_t>(m.updates.size()));
   for (const Update& u : m.updates) Pack(out, u);
   out.pack_array(static_cast<std::uint32_t>(m.facts.size()));
@@ -151,7 +151,7 @@
     m.from = in.ReadRecord();
     m.digest = in.Number<std::uint64_t>(0, ~std::uint64_t{0});
     m.target = in.ReadId(true);
-    m.target_at = in.ReadEndpoint();
+    m.target_endpoint = in.ReadEndpoint();
     m.updates = in.ReadUpdates();
     m.facts = in.ReadFacts();
     return m;
--- a/src/cluster/target_gossip/target_gossip.h
+++ b/src/cluster/target_gossip/target_gossip.h
@@ -38,7 +38,7 @@
 
 class TargetGossip {
  public:
-  // Facts older than this are ignored.
+  // Facts that are older than the limit for their kind are ignored.
   static constexpr Micros kFailingMaxAge = 2'000'000;
   static constexpr Micros kStartedMaxAge = 30'000'000;    // covers slow start and a late discovery list
   static constexpr Micros kLoadMaxAge = 1'500'000;        // the module does not use older reports
@@ -53,8 +53,8 @@
   TargetGossip(std::string_view self, std::uint64_t seed);
   static std::uint64_t HashOf(std::string_view name);
 
-  // Records an observation of this scheduler and queues it. `since`: kStarted only, Unix time in
-  // microseconds.
+  // Records an observation of this scheduler and queues it, unless the same was queued recently. `since`:
+  // kStarted only, Unix time in microseconds.
   void RecordEvent(Micros now, FactKind kind, std::uint64_t target, Micros since = 0);
   // Records that the target answered this scheduler.
   void RecordHealthy(Micros now, std::uint64_t target);
@@ -62,7 +62,8 @@
   void RecordLoad(Micros now, std::uint64_t target, std::uint16_t waiting, std::uint16_t free);
   // Appends this scheduler's own observations with their ages, for a member that has just started.
   void AppendOwnFacts(Micros now, std::vector<Fact>& out) const;
-  // Handles a fact from another scheduler and appends what it suggests. `schedulers`: the fleet's size.
+  // Handles a fact from another scheduler and appends what it suggests. `schedulers`: how many
+  // schedulers share the probes.
   void HandleFact(Micros now, const Fact& fact, int schedulers, std::vector<TargetAdvice>& advice);
   // Appends queued facts that fit into `max_bytes`, with updated ages. Each fact is sent `max_sends` times.
   void Fill(Micros now, std::size_t max_bytes, int max_sends, std::vector<Fact>& out);
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,4 +1,5 @@
-// Membership in virtual time: one test for each way in which a fleet's views could go wrong.
+// Tests of the membership protocol in virtual time. Each test covers one way in which views could become
+// wrong.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,167 +13,170 @@
 constexpr Micros kSecond = 1'000'000;
 
 struct Fleet : World {
-  explicit Fleet(int members, std::uint64_t seed = 1) : Fleet(Of(members, seed)) {}
+  explicit Fleet(int members, std::uint64_t seed = 1) : Fleet(MakeOptions(members, seed)) {}
   explicit Fleet(const Options& options) : World(options) {
     on_member_changed = [this](int, const MemberChanged& c) {
       if (c.record.state == MemberState::kDead) ++dead[c.record.id.name];
     };
     for (int i = 0; i < size(); ++i) Start(i);
-    For(10 + size() / 10);
-    EXPECT_TRUE(Whole());
+    RunFor(10 + size() / 10);
+    EXPECT_TRUE(Converged());
   }
-  static Options Of(int members, std::uint64_t seed) {
+  static Options MakeOptions(int members, std::uint64_t seed) {
     Options o;
     o.members = members;
     o.seed = seed;
     return o;
   }
-  void For(double seconds) { RunUntil(now() + static_cast<Micros>(seconds * 1e6)); }
-  bool Whole() {
+  void RunFor(double seconds) { RunUntil(now() + static_cast<Micros>(seconds * 1e6)); }
+  bool Converged() {
     for (int i = 0; i < size(); ++i) {
       if (node(i).up && node(i).core->fleet_size() != size()) return false;
     }
     return ViewsEqual();
   }
-  std::map<std::string, int> dead;  // verdicts, in all views
+  std::map<std::string, int> dead;  // verdicts in all views, by member name
 };
 
-Message Forged(Fleet& fleet, int about, MemberState state, std::uint32_t incarnation, BootId life_more = 0) {
+Message ForgedUpdate(Fleet& fleet, int about, MemberState state, std::uint32_t incarnation,
+                     BootId boot_id_offset = 0) {
   Message m;
   m.from = fleet.node(1).core->self();
   MemberRecord r = fleet.node(about).core->self();
   r.state = state;
   r.incarnation = incarnation;
-  r.id.boot_id += life_more;
+  r.id.boot_id += boot_id_offset;
   m.updates.push_back(Update{r, "s1", 0});
   return m;
 }
 
-TEST(Membership, ADeadMemberIsGivenUpByAllAndAReturnIsSeen) {
+TEST(Membership, AllDetectADeadMemberAndItsReturn) {
   Fleet fleet(10);
   fleet.Kill(3);
-  fleet.For(5);
+  fleet.RunFor(5);
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(i == 3 || fleet.StateInView(i, 3) == MemberState::kDead);
   EXPECT_EQ(fleet.dead.size(), 1u);
   fleet.Start(3);
-  fleet.For(3);
-  EXPECT_TRUE(fleet.Whole());
+  fleet.RunFor(3);
+  EXPECT_TRUE(fleet.Converged());
 }
 
-TEST(Membership, OneThatLeavesIsNotOneThatFails) {
+TEST(Membership, ALeaveIsNotAFailure) {
   Fleet fleet(5);
-  std::vector<QuorumState> told;
-  fleet.on_quorum_state_changed = [&](int, const QuorumStateChanged& s) { told.push_back(s.quorum_state); };
+  std::vector<QuorumState> reported;
+  fleet.on_quorum_state_changed = [&](int, const QuorumStateChanged& s) {
+    reported.push_back(s.quorum_state);
+  };
   fleet.Leave(2);
-  fleet.For(1.2);
+  fleet.RunFor(1.2);
   for (int i : {0, 1, 3, 4}) EXPECT_EQ(fleet.StateInView(i, 2), MemberState::kLeft);
   const std::uint64_t sent = fleet.node(2).datagrams;
   Message ping;
   ping.kind = MessageKind::kPing;
   ping.from = fleet.node(0).core->self();
   fleet.Deliver(2, ping);
-  fleet.For(10);
-  EXPECT_EQ(fleet.node(2).datagrams, sent) << "nothing after its goodbye";
+  fleet.RunFor(10);
+  EXPECT_EQ(fleet.node(2).datagrams, sent) << "nothing is sent after the leave";
   fleet.Kill(2);
-  fleet.For(20);
+  fleet.RunFor(20);
   EXPECT_TRUE(fleet.dead.empty());
-  EXPECT_TRUE(told.empty()) << "who has left is not missing";
+  EXPECT_TRUE(reported.empty()) << "a member that left does not count as missing";
 }
 
-// Stopped for 10 s, or asleep: what it missed must not become the others' fault.
-TEST(Membership, AMemberThatStoodStillAccusesNobody) {
+// A member that was suspended for 10 s must not suspect others because of messages that it missed itself.
+TEST(Membership, AStalledMemberSuspectsNobody) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Fleet fleet(6, seed);
     fleet.Pause(1, fleet.now() + 10 * kSecond);
-    fleet.For(12);
+    fleet.RunFor(12);
     const std::set<std::string> only{"s1"};
     for (const auto& [name, n] : fleet.dead) EXPECT_TRUE(only.contains(name)) << name << " seed " << seed;
     EXPECT_EQ(fleet.node(1).core->counters().verdicts, 0u);
     EXPECT_EQ(fleet.node(1).core->counters().stalls, 1u);
-    EXPECT_EQ(fleet.node(1).core->counters().suspicions, 0u) << "its probes under way are void";
-    fleet.For(8);
-    EXPECT_TRUE(fleet.Whole()) << seed;
+    EXPECT_EQ(fleet.node(1).core->counters().suspicions, 0u) << "probes in flight are cancelled";
+    fleet.RunFor(8);
+    EXPECT_TRUE(fleet.Converged()) << seed;
   }
 }
 
-// It held a suspicion when it was stopped; the refutation went by.
-TEST(Membership, ASuspicionIsGivenItsTimeAgainAfterAStandstill) {
+// The member held a suspicion when it was suspended, and missed the refutation.
+TEST(Membership, AStallExtendsSuspicions) {
   Fleet fleet(6);
-  Message m = Forged(fleet, 0, MemberState::kSuspect, 0);
+  Message m = ForgedUpdate(fleet, 0, MemberState::kSuspect, 0);
   m.from = fleet.node(3).core->self();
   fleet.Deliver(1, m);
   ASSERT_EQ(fleet.StateInView(1, 0), MemberState::kSuspect);
   fleet.Pause(1, fleet.now() + 20 * kSecond);
-  fleet.For(30);
+  fleet.RunFor(30);
   EXPECT_EQ(fleet.node(1).core->counters().verdicts, 0u);
-  EXPECT_TRUE(fleet.Whole());
+  EXPECT_TRUE(fleet.Converged());
 }
 
-// SWIM, section 4.3: in two rounds everybody is asked, so that the first suspicion comes in bounded time.
-TEST(Membership, EachIsProbedInTwoRounds) {
+// SWIM, section 4.3: every member is probed within two rounds, which bounds the time to the first suspicion.
+TEST(Membership, EveryMemberIsProbedWithinTwoRounds) {
   Fleet fleet(12);
   std::map<std::pair<int, int>, int> probed;
   fleet.intercept = [&](int from, int to, Message& m) {
     if (m.kind == MessageKind::kPing) ++probed[{from, to}];
     return true;
   };
-  fleet.For(0.5 * 2 * 11 + 2);
+  fleet.RunFor(0.5 * 2 * 11 + 2);
   EXPECT_EQ(probed.size(), 12u * 11u);
 }
 
-TEST(Membership, AHearsBButBNotA) {
+TEST(Membership, OneWayLinkCausesNoVerdict) {
   Fleet fleet(5);
   fleet.link = [](int from, int to) { return !(from == 0 && to == 1); };
-  fleet.For(120);
-  EXPECT_TRUE(fleet.dead.empty()) << "others reach both";
-  EXPECT_TRUE(fleet.Whole());
+  fleet.RunFor(120);
+  EXPECT_TRUE(fleet.dead.empty()) << "indirect probes reach both";
+  EXPECT_TRUE(fleet.Converged());
 }
 
-void Heals(int members, int parts, double cut_s, Micros forget, double within) {
-  World::Options options = Fleet::Of(members, 7);
+void ExpectHeals(int members, int parts, double cut_s, Micros forget, double heal_s) {
+  World::Options options = Fleet::MakeOptions(members, 7);
   options.forget_after = forget;
   Fleet fleet(options);
-  // Two that overlap where there are four parts: 0|123 and 01|23 together.
+  // Four parts are the result of two overlapping partitions.
   fleet.link = [=](int a, int b) { return a * parts / members == b * parts / members; };
-  fleet.For(cut_s);
+  fleet.RunFor(cut_s);
   if (cut_s >= 10) {
     EXPECT_FALSE(fleet.IsPresentInView(0, members - 1));
     EXPECT_NE(fleet.node(members - 1).core->quorum_state(), QuorumState::kAllPresent);
   }
   fleet.link = [](int, int) { return true; };
-  fleet.For(within);
-  EXPECT_TRUE(fleet.Whole()) << parts << " parts for " << cut_s << " s";
+  fleet.RunFor(heal_s);
+  EXPECT_TRUE(fleet.Converged()) << parts << " parts for " << cut_s << " s";
   for (int i = 0; i < members; ++i) EXPECT_EQ(fleet.node(i).core->quorum_state(), QuorumState::kAllPresent);
 }
 
-TEST(Membership, CutsHealWithoutAnOperator) {
+TEST(Membership, PartitionsHealWithoutAnOperator) {
   for (const double cut_s : {1.0, 10.0}) {
-    for (const int parts : {2, 3, 4, 9}) Heals(9, parts, cut_s, 3600 * kSecond, 7);
+    for (const int parts : {2, 3, 4, 9}) ExpectHeals(9, parts, cut_s, 3600 * kSecond, 7);
   }
-  Heals(40, 2, 60, 3600 * kSecond, 15);
+  ExpectHeals(40, 2, 60, 3600 * kSecond, 15);
 }
 
-// Both sides have forgotten each other: `join` brings them together again.
-TEST(Membership, ACutLongerThanForgetHeals) {
-  World::Options options = Fleet::Of(9, 7);
+// Both sides have forgotten each other; the addresses in `join` merge them again.
+TEST(Membership, APartitionLongerThanForgetAfterHeals) {
+  World::Options options = Fleet::MakeOptions(9, 7);
   options.forget_after = 20 * kSecond;
   Fleet fleet(options);
   fleet.link = [](int a, int b) { return (a < 4) == (b < 4); };
-  fleet.For(60);
+  fleet.RunFor(60);
   EXPECT_EQ(fleet.node(8).core->Members().size(), 5u) << "the far side is forgotten";
   fleet.link = [](int, int) { return true; };
-  fleet.For(30);
-  EXPECT_TRUE(fleet.Whole());
+  fleet.RunFor(30);
+  EXPECT_TRUE(fleet.Converged());
 }
 
-TEST(Membership, StandingByHalvesAndAlone) {
+TEST(Membership, QuorumStateInAPartition) {
   Fleet fleet(5);
   fleet.link = [](int a, int b) { return (a < 2) == (b < 2); };
-  fleet.For(15);
+  fleet.RunFor(15);
   EXPECT_EQ(fleet.node(0).core->quorum_state(), QuorumState::kMinority);
   EXPECT_EQ(fleet.node(4).core->quorum_state(), QuorumState::kMajority);
   fleet.link = [](int a, int b) { return a == b; };
-  fleet.For(15);
+  fleet.RunFor(15);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.node(i).core->quorum_state(), QuorumState::kIsolated);
 }
 
@@ -180,77 +184,78 @@
   Fleet fleet(7);
   for (int n = 0; n < 10; ++n) {
     fleet.Kill(4);
-    fleet.For(0.5);
+    fleet.RunFor(0.5);
     fleet.Start(4);
-    fleet.For(0.5);
+    fleet.RunFor(0.5);
   }
-  fleet.For(10);
-  EXPECT_TRUE(fleet.Whole());
+  fleet.RunFor(10);
+  EXPECT_TRUE(fleet.Converged());
   for (const MemberView& v : fleet.node(0).core->Members()) {
     if (v.record.id.name == "s4") {
-      EXPECT_EQ(v.record.id, fleet.node(4).core->self().id) << "one life only";
+      EXPECT_EQ(v.record.id, fleet.node(4).core->self().id) << "only the latest boot is listed";
     }
   }
 }
 
-// The machine's clock was an hour ahead before the restart: its life would be an older one.
-TEST(Membership, AClockThatSteppedBackMakesNoOlderLife) {
+// The machine's clock was an hour ahead before the restart, so the new process would get a lower boot id.
+TEST(Membership, AClockSetBackDoesNotLowerTheBootId) {
   Fleet fleet(5);
   fleet.node(2).clock_offset = 3600 * kSecond;
   fleet.Kill(2);
-  fleet.For(5);
+  fleet.RunFor(5);
   fleet.Start(2);
-  fleet.For(5);
+  fleet.RunFor(5);
   const BootId ahead = fleet.node(2).core->self().id.boot_id;
   fleet.Kill(2);
-  fleet.For(5);
+  fleet.RunFor(5);
   fleet.node(2).clock_offset = 0;
   fleet.Start(2);
-  fleet.For(10);
+  fleet.RunFor(10);
   EXPECT_GT(fleet.node(2).core->self().id.boot_id, ahead);
-  EXPECT_TRUE(fleet.Whole());
+  EXPECT_TRUE(fleet.Converged());
 }
 
-// Two processes of one name: an upgrade ends when the older one leaves; two that stay are told of.
-TEST(Membership, TwoThatServeUnderOneNameAreTold) {
+// Two processes may share a name during an upgrade, until the older one leaves. If both stay, each member
+// reports it.
+TEST(Membership, DuplicateNamesAreReported) {
   Fleet fleet(4);
-  int told = 0;
-  fleet.on_duplicate_name = [&](int, const DuplicateName& t) { told += t.name == "s1"; };
+  int reported = 0;
+  fleet.on_duplicate_name = [&](int, const DuplicateName& t) { reported += t.name == "s1"; };
   fleet.Kill(3);
   fleet.node(3).self.id.name = "s1";  // another process, another address
   fleet.Start(3);
-  fleet.For(30);
-  EXPECT_EQ(told, 0) << "an upgrade may take so long";
-  fleet.For(60);
-  EXPECT_GE(told, 3) << "each member tells its operators";
-  EXPECT_EQ(fleet.node(0).core->fleet_size(), 3) << "one name counts once";
-  EXPECT_EQ(fleet.node(1).core->fleet_size(), 3) << "one's own too";
-  EXPECT_EQ(fleet.node(0).core->Members().size(), 5u) << "and they are not merged";
+  fleet.RunFor(30);
+  EXPECT_EQ(reported, 0) << "within the time allowed for an upgrade";
+  fleet.RunFor(60);
+  EXPECT_GE(reported, 3) << "each member reports it";
+  EXPECT_EQ(fleet.node(0).core->fleet_size(), 3) << "a name counts once";
+  EXPECT_EQ(fleet.node(1).core->fleet_size(), 3) << "also the member's own name";
+  EXPECT_EQ(fleet.node(0).core->Members().size(), 5u) << "both processes are listed";
   fleet.Leave(1);
-  fleet.For(5);
-  told = 0;
-  fleet.For(120);
-  EXPECT_EQ(told, 0);
-  EXPECT_EQ(fleet.StateInView(0, 1), MemberState::kAlive) << "the younger life stands for the name";
+  fleet.RunFor(5);
+  reported = 0;
+  fleet.RunFor(120);
+  EXPECT_EQ(reported, 0);
+  EXPECT_EQ(fleet.StateInView(0, 1), MemberState::kAlive) << "the newer boot represents the name";
 }
 
-TEST(Membership, ARollingRestartOfAllIsSeenAsSuch) {
+TEST(Membership, ARollingRestartCausesNoVerdict) {
   Fleet fleet(30);
   for (int i = 0; i < 30; ++i) {
     fleet.Leave(i);
-    fleet.For(1.2);
+    fleet.RunFor(1.2);
     fleet.Kill(i);
-    fleet.For(0.3);
+    fleet.RunFor(0.3);
     fleet.Start(i, {(i + 1) % 30, (i + 2) % 30});
-    fleet.For(0.5);
+    fleet.RunFor(0.5);
   }
-  fleet.For(10);
-  EXPECT_TRUE(fleet.Whole());
+  fleet.RunFor(10);
+  EXPECT_TRUE(fleet.Converged());
   EXPECT_TRUE(fleet.dead.empty());
 }
 
-TEST(Membership, JoinAddressesThatAreDownOrOnesOwn) {
-  World fleet(Fleet::Of(4, 3));
+TEST(Membership, JoinAddressesThatAreDownOrOwn) {
+  World fleet(Fleet::MakeOptions(4, 3));
   fleet.Start(0, {0, 2});  // its own, and one that is down
   fleet.Start(1, {3});
   fleet.RunUntil(fleet.now() + 20 * kSecond);
@@ -260,30 +265,30 @@
   fleet.Start(2, {0});
   fleet.RunUntil(fleet.now() + 15 * kSecond);
   for (int i = 0; i < 4; ++i) EXPECT_EQ(fleet.node(i).core->fleet_size(), 4);
-  World::Options relayed = Fleet::Of(1, 3);
-  relayed.join_port = 9;  // another way to its own address
+  World::Options relayed = Fleet::MakeOptions(1, 3);
+  relayed.join_port = 9;  // a forwarded port of its own address
   EXPECT_EQ(Fleet(relayed).node(0).core->quorum_state(), QuorumState::kAllPresent);
-  Fleet only(Fleet::Of(1, 3));
+  Fleet only(Fleet::MakeOptions(1, 3));
   EXPECT_EQ(only.node(0).core->quorum_state(), QuorumState::kAllPresent)
-      << "its own address is no other member";
+      << "its own address is not another member";
 }
 
-TEST(Membership, JoinDuringACut) {
+TEST(Membership, JoinDuringAPartition) {
   Fleet fleet(6);
   fleet.Kill(5);
-  fleet.For(8);
+  fleet.RunFor(8);
   fleet.link = [](int a, int b) { return (a < 3) == (b < 3); };
-  fleet.For(8);
-  fleet.Start(5, {0, 4});  // on the far side of one of them
-  fleet.For(8);
+  fleet.RunFor(8);
+  fleet.Start(5, {0, 4});  // addresses on both sides of the partition
+  fleet.RunFor(8);
   EXPECT_TRUE(fleet.IsPresentInView(5, 4));
   EXPECT_FALSE(fleet.IsPresentInView(0, 5));
   fleet.link = [](int, int) { return true; };
-  fleet.For(15);
-  EXPECT_TRUE(fleet.Whole());
+  fleet.RunFor(15);
+  EXPECT_TRUE(fleet.Converged());
 }
 
-// Each of the first datagrams of a death in turn is lost, or is held for a minute and then comes.
+// After a member dies, each of the first 120 datagrams in turn is lost, or is delivered a minute late.
 TEST(Membership, ADatagramLostOrLateInEachPosition) {
   for (const bool late : {false, true}) {
     for (int position = 0; position < 120; ++position) {
@@ -296,23 +301,23 @@
         return false;
       };
       fleet.Kill(2);
-      fleet.For(9);
+      fleet.RunFor(9);
       EXPECT_EQ(fleet.StateInView(0, 2), MemberState::kDead) << position;
       EXPECT_EQ(fleet.StateInView(1, 2), MemberState::kDead) << position;
       EXPECT_TRUE(fleet.IsPresentInView(0, 1) && fleet.IsPresentInView(1, 0)) << position;
       fleet.Start(2);
-      fleet.For(60);
+      fleet.RunFor(60);
       for (auto& [to, message] : held) {
         if (late) fleet.Deliver(to, message);
       }
-      fleet.For(5);
-      EXPECT_TRUE(fleet.Whole()) << position;
+      fleet.RunFor(5);
+      EXPECT_TRUE(fleet.Converged()) << position;
     }
   }
 }
 
-TEST(Membership, LossDelayAndCopiesMakeNoVerdict) {
-  World::Options options = Fleet::Of(30, 5);
+TEST(Membership, LossDelayAndDuplicatesCauseNoVerdict) {
+  World::Options options = Fleet::MakeOptions(30, 5);
   options.loss_rate = 0.05;
   options.duplicate_rate = 0.2;
   options.max_delay = 60'000;
@@ -321,70 +326,70 @@
     if (n % 6 == 0) {
       for (int i = 0; i < 30; i += 10) fleet.Pause(i, fleet.now() + 240'000);
     }
-    fleet.For(0.5);
+    fleet.RunFor(0.5);
   }
   EXPECT_TRUE(fleet.dead.empty());
 }
 
-// Incarnations that wrap, and lives and incarnations that are forged: a living member is not dead for good.
-TEST(Membership, ForgedIncarnationsAndLivesAreRefuted) {
+// Forged boot ids and incarnations, up to the maximum, must not leave a living member dead permanently.
+TEST(Membership, ForgedIncarnationsAndBootIdsAreRefuted) {
   Fleet fleet(5);
-  fleet.Deliver(0, Forged(fleet, 2, MemberState::kDead, kMaxIncarnation));
-  fleet.For(10);
-  EXPECT_TRUE(fleet.Whole()) << "the highest incarnation";
-  fleet.Deliver(0, Forged(fleet, 2, MemberState::kLeft, 100));
-  fleet.For(10);
-  EXPECT_TRUE(fleet.Whole()) << "a goodbye that it never said";
-  fleet.Deliver(0, Forged(fleet, 2, MemberState::kAlive, 7, 1'000'000));
-  fleet.For(10);
-  EXPECT_TRUE(fleet.Whole()) << "a later life";
+  fleet.Deliver(0, ForgedUpdate(fleet, 2, MemberState::kDead, kMaxIncarnation));
+  fleet.RunFor(10);
+  EXPECT_TRUE(fleet.Converged()) << "the highest incarnation";
+  fleet.Deliver(0, ForgedUpdate(fleet, 2, MemberState::kLeft, 100));
+  fleet.RunFor(10);
+  EXPECT_TRUE(fleet.Converged()) << "a leave that it did not announce";
+  fleet.Deliver(0, ForgedUpdate(fleet, 2, MemberState::kAlive, 7, 1'000'000));
+  fleet.RunFor(10);
+  EXPECT_TRUE(fleet.Converged()) << "a higher boot id";
   const std::size_t known = fleet.node(0).core->Members().size();
-  fleet.Deliver(0, Forged(fleet, 2, MemberState::kAlive, 0, kMaxBootId));
+  fleet.Deliver(0, ForgedUpdate(fleet, 2, MemberState::kAlive, 0, kMaxBootId));
   EXPECT_EQ(fleet.node(0).core->Members().size(), known);
-  EXPECT_EQ(fleet.node(0).core->Find("s2")->record.id, fleet.node(2).core->self().id) << "out of bounds";
+  EXPECT_EQ(fleet.node(0).core->Find("s2")->record.id, fleet.node(2).core->self().id) << "above the maximum";
 }
 
 TEST(Membership, HalfOfTheFleetKilledAtOnce) {
   Fleet fleet(60);
   for (int i = 30; i < 60; ++i) fleet.Kill(i);
-  fleet.For(25);
+  fleet.RunFor(25);
   for (int i = 0; i < 30; ++i) EXPECT_EQ(fleet.node(i).core->fleet_size(), 30);
   for (int i = 0; i < 30; ++i) EXPECT_EQ(fleet.node(i).core->quorum_state(), QuorumState::kMinority);
-  for (const auto& [name, n] : fleet.dead) EXPECT_GE(std::stoi(name.substr(1)), 30) << "a living one";
+  for (const auto& [name, n] : fleet.dead) EXPECT_GE(std::stoi(name.substr(1)), 30) << "a living member";
 }
 
-TEST(Membership, WordOfTheDeadIsForgotten) {
-  World::Options options = Fleet::Of(5, 2);
+TEST(Membership, DeadMembersAreForgotten) {
+  World::Options options = Fleet::MakeOptions(5, 2);
   options.forget_after = 30 * kSecond;
   Fleet fleet(options);
   fleet.Kill(4);
-  fleet.For(20);
+  fleet.RunFor(20);
   EXPECT_EQ(fleet.node(0).core->Members().size(), 5u);
-  fleet.For(60);  // exchanges meanwhile must not hand it round for ever
+  fleet.RunFor(60);  // exchanges must not keep the record circulating
   for (int i = 0; i < 4; ++i) EXPECT_EQ(fleet.node(i).core->Members().size(), 4u);
-  Message late = Forged(fleet, 3, MemberState::kDead, 0);
+  Message late = ForgedUpdate(fleet, 3, MemberState::kDead, 0);
   late.updates[0].record.id = {"s4", 7};
   late.updates[0].record.endpoint.port = 9;
   fleet.Deliver(0, late);
-  EXPECT_EQ(fleet.node(0).core->Members().size(), 4u) << "a datagram that comes hours late";
+  EXPECT_EQ(fleet.node(0).core->Members().size(), 4u) << "late gossip about a forgotten member is ignored";
 }
 
-TEST(Membership, TheSameSeedGivesTheSameFleet) {
-  const auto play = [](std::uint64_t seed) {
+TEST(Membership, TheSameSeedGivesTheSameRun) {
+  const auto run_fleet = [](std::uint64_t seed) {
     Fleet fleet(12, seed);
     fleet.Kill(3);
-    fleet.For(20);
+    fleet.RunFor(20);
     std::vector<std::uint64_t> sums;
     for (int i = 0; i < 12; ++i) sums.push_back(fleet.node(i).datagrams);
     return sums;
   };
-  EXPECT_EQ(play(4), play(4));
-  EXPECT_NE(play(4), play(5));
+  EXPECT_EQ(run_fleet(4), run_fleet(4));
+  EXPECT_NE(run_fleet(4), run_fleet(5));
 }
 
-// Every history of four steps of one member's record, at another: a verdict goes back only with a higher
-// incarnation or life.
-TEST(Membership, VerdictsNeverGoBack) {
+// Applies every sequence of four updates about one member to another member. A verdict may be reverted only
+// by a higher incarnation or boot id.
+TEST(Membership, VerdictsAreNotReverted) {
   struct Step {
     MemberState state;
     std::uint32_t incarnation;
@@ -397,16 +402,16 @@
       for (BootId l : {10U, 11U}) steps.push_back({s, i, l});
     }
   }
-  long histories = 0;
+  long sequences = 0;
   const auto of = [](std::string name, std::uint32_t ip, BootId boot_id) {
     MemberRecord r;
     r.id = {std::move(name), boot_id};
     r.endpoint = {ip, 1};
     return r;
   };
-  for (std::size_t h = 0; h < steps.size() * steps.size() * steps.size() * steps.size(); ++h, ++histories) {
+  for (std::size_t h = 0; h < steps.size() * steps.size() * steps.size() * steps.size(); ++h, ++sequences) {
     Membership core({}, of("me", 1, 5), 1, 0);
-    std::tuple<BootId, std::uint32_t, MemberState> best{0, 0, MemberState::kAlive};
+    std::tuple<BootId, std::uint32_t, MemberState> latest{0, 0, MemberState::kAlive};
     std::size_t rest = h;
     for (int n = 0; n < 4; ++n, rest /= steps.size()) {
       const Step& s = steps[rest % steps.size()];
@@ -421,39 +426,41 @@
       const MemberView* v = core.Find("third");
       if (v == nullptr) continue;
       const std::tuple now{v->record.id.boot_id, v->record.incarnation, v->record.state};
-      ASSERT_GE(now, best);
-      best = now;
+      ASSERT_GE(now, latest);
+      latest = now;
     }
   }
-  EXPECT_EQ(histories, 65536);
+  EXPECT_EQ(sequences, 65536);
 }
 
-// Three members, every history of five faults of five kinds. Whatever came before, once all are up and reach
-// each other their views are whole; and no view goes back on a verdict by the same incarnation.
-TEST(Membership, EveryShortHistoryOfThreeEndsWhole) {
-  constexpr int kKinds = 5, kSteps = 5;
-  int histories = 0;
-  for (int h = 0; h < 3125; ++h, ++histories) {
+// Runs every sequence of five faults of five kinds on three members. Once all are up and can reach each
+// other, their views converge, and no view reverts a verdict with the same incarnation.
+TEST(Membership, EveryShortFaultSequenceConverges) {
+  constexpr int kFaultKinds = 5, kSteps = 5;
+  int sequences = 0;
+  for (int h = 0; h < 3125; ++h, ++sequences) {
     Fleet fleet(3, static_cast<std::uint64_t>(h) + 1);
-    bool both = false, one_way = false;
-    fleet.link = [&](int a, int b) { return !(both && a + b == 1) && !(one_way && a == 0 && b == 2); };
-    std::map<std::pair<int, MemberId>, std::pair<std::uint64_t, std::uint32_t>> given_up;
+    bool cut_both_ways = false, cut_one_way = false;
+    fleet.link = [&](int a, int b) {
+      return !(cut_both_ways && a + b == 1) && !(cut_one_way && a == 0 && b == 2);
+    };
+    std::map<std::pair<int, MemberId>, std::pair<std::uint64_t, std::uint32_t>> verdicts;
     fleet.on_member_changed = [&](int i, const MemberChanged& c) {
       const std::uint64_t run = fleet.node(i).run;
       const auto key = std::pair(i, c.record.id);
-      if (c.record.state == MemberState::kDead) given_up[key] = {run, c.record.incarnation};
-      const auto it = given_up.find(key);
-      if (c.record.state > MemberState::kSuspect || it == given_up.end() || it->second.first != run) return;
-      EXPECT_GT(c.record.incarnation, it->second.second) << "history " << h;
+      if (c.record.state == MemberState::kDead) verdicts[key] = {run, c.record.incarnation};
+      const auto it = verdicts.find(key);
+      if (c.record.state > MemberState::kSuspect || it == verdicts.end() || it->second.first != run) return;
+      EXPECT_GT(c.record.incarnation, it->second.second) << "sequence " << h;
     };
     int rest = h;
-    for (int n = 0; n < kSteps; ++n, rest /= kKinds) {
-      switch (rest % kKinds) {
+    for (int n = 0; n < kSteps; ++n, rest /= kFaultKinds) {
+      switch (rest % kFaultKinds) {
         case 0:
-          both = !both;
+          cut_both_ways = !cut_both_ways;
           break;
         case 1:
-          one_way = !one_way;
+          cut_one_way = !cut_one_way;
           break;
         case 2:
           fleet.node(1).up ? fleet.Kill(1) : fleet.Start(1);
@@ -462,19 +469,19 @@
           fleet.Pause(2, fleet.now() + 2 * kSecond);
           break;
         default:
-          fleet.For(4);
+          fleet.RunFor(4);
       }
-      fleet.For(0.6);
+      fleet.RunFor(0.6);
     }
-    both = one_way = false;
+    cut_both_ways = cut_one_way = false;
     if (!fleet.node(1).up) fleet.Start(1);
-    fleet.For(14);
-    ASSERT_TRUE(fleet.Whole()) << "history " << h;
+    fleet.RunFor(14);
+    ASSERT_TRUE(fleet.Converged()) << "sequence " << h;
   }
-  EXPECT_EQ(histories, 3125);
+  EXPECT_EQ(sequences, 3125);
 }
 
-TEST(QuorumState, OneLostDatagramChangesNothing) {
+TEST(QuorumState, ShortChangesAreNotReported) {
   QuorumStateFilter watch(1'000'000, 2'000'000);
   EXPECT_FALSE(watch.Observe(0, QuorumState::kAllPresent));
   EXPECT_TRUE(watch.Observe(2'000'000, QuorumState::kAllPresent));
@@ -484,7 +491,7 @@
   EXPECT_TRUE(watch.Observe(5'000'000, QuorumState::kMinority));
 }
 
-TEST(QuorumState, JudgedAgainstWhoIsKnown) {
+TEST(QuorumState, EvaluatedAgainstKnownMembers) {
   EXPECT_EQ(EvaluateQuorum(1, 1, false), QuorumState::kAllPresent);
   EXPECT_EQ(EvaluateQuorum(1, 1, true), QuorumState::kIsolated);
   EXPECT_EQ(EvaluateQuorum(3, 1, false), QuorumState::kIsolated);
@@ -492,15 +499,16 @@
   EXPECT_EQ(EvaluateQuorum(5, 3, false), QuorumState::kMajority);
 }
 
-// A mass death must not let the survivors triple what each sends to cold workers; growth counts at once.
-TEST(SmoothedFleetSize, FallsSlowlyAndGrowsAtOnce) {
+// After a mass failure the survivors must not triple the load that each sends to cold workers in one step.
+// Growth applies at once.
+TEST(SmoothedFleetSize, ShrinksSlowlyAndGrowsAtOnce) {
   SmoothedFleetSize size(3, 30'000'000);
   EXPECT_EQ(size.Observe(0, 90), 90);
-  for (int s = 1; s <= 8; ++s) EXPECT_GE(size.Observe(s * 1'000'000, 20), 74) << "within a warm-up";
+  for (int s = 1; s <= 8; ++s) EXPECT_GE(size.Observe(s * 1'000'000, 20), 74) << "within a slow start";
   EXPECT_EQ(size.Observe(9'000'000, 90), 90);
   Micros now = 9'000'000;
   for (int s = 0; s < 300; ++s) size.Observe(now += 1'000'000, 1);
-  EXPECT_EQ(size.size(), 3) << "the floor";
+  EXPECT_EQ(size.size(), 3) << "the minimum";
 }
 
 }  // namespace
--- a/tests/cluster/node_test.cpp
+++ b/tests/cluster/node_test.cpp
@@ -1,4 +1,4 @@
-// A member's sockets: where it listens when any port will do.
+// Tests of a member's sockets: binding with port 0 and to a port in use.
 #include "src/cluster/net/node.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace heronway::cluster {
 namespace {
 
-// Ports of an address that are taken for connections alone, as any process's may be at any moment.
+// Occupies TCP ports of an address, as connections of other processes may.
 class OccupiedPorts {
  public:
   OccupiedPorts(const net::Address& callbacks, int count) {
@@ -30,8 +30,8 @@
   std::vector<int> fds_;
 };
 
-// About one port in thirty is taken: of 400 members some would ask for such a one.
-TEST(Node, AnyPortIsOneThatIsFreeForBothSockets) {
+// About one port in thirty is occupied for TCP only, so some of the 400 members are offered such a port.
+TEST(Node, PortZeroPicksAPortFreeForBothSockets) {
   net::BufferPool pool(64);
   net::Loop loop;
   net::Shared shared{loop, pool, false};
@@ -39,15 +39,15 @@
   options.enabled = true;
   options.fleet = "f";
   options.listen = options.advertise = *net::ParseAddress("127.61.7.3:0");
-  const OccupiedPorts taken(options.listen, 900);
-  ASSERT_GT(taken.count(), 700u);
+  const OccupiedPorts occupied(options.listen, 900);
+  ASSERT_GT(occupied.count(), 700u);
   for (int n = 0; n < 400; ++n) {
     Node node(shared, options, "s", "", "", 1, Node::Callbacks{});
     EXPECT_NE(node.address().sin_port, 0);
   }
 }
 
-TEST(Node, APortThatIsTakenIsAFaultThatNamesTheKey) {
+TEST(Node, ErrorForAPortInUseNamesTheKey) {
   net::BufferPool pool(64);
   net::Loop loop;
   net::Shared shared{loop, pool, false};
@@ -59,7 +59,7 @@
   options.listen = options.advertise = first.address();
   try {
     Node second(shared, options, "t", "", "", 2, Node::Callbacks{});
-    FAIL() << "both listen at one address";
+    FAIL() << "both nodes listen at the same address";
   } catch (const std::runtime_error& e) {
     EXPECT_EQ(std::string(e.what()).rfind("cluster.listen: cannot listen at 127.61.7.4:", 0), 0u) << e.what();
   }
--- a/tests/fuzz/cluster_fuzz.cpp
+++ b/tests/fuzz/cluster_fuzz.cpp
@@ -1,5 +1,6 @@
-// A datagram of any bytes is a message or is dropped; what is a message comes back whole, and a member takes
-// it, as a datagram and in an exchange, without giving up what holds for itself.
+// Fuzzes the membership codec and core. Arbitrary bytes are decoded or rejected; a decoded message
+// round-trips, and a member that receives it as a datagram and in an exchange keeps its own name and stays
+// alive, its boot id does not decrease, and its datagrams stay within the size limit.
 #include <cstdlib>
 
 #include "src/cluster/membership/membership.h"
