--- a/src/cluster/copies/tool.cpp
+++ b/src/cluster/copies/commands.cpp
@@ -1,28 +1,28 @@
-#include "src/cluster/copies/tool.h"
+#include "src/cluster/copies/commands.h"
 
 #include <cstdio>
 #include <filesystem>
 #include <memory>
 
-#include "src/cluster/copies/copies.h"
+#include "src/cluster/copies/replica_manager.h"
 #include "src/cluster/tool.h"
 #include "src/durable/codec.h"
 
 namespace heronway::cluster::copies {
 namespace {
 
-log::Index LastOf(const GroupOnDisk& g) {
+log::Index LastOf(const StoredGroup& g) {
   return (g.log.snapshot == nullptr ? 0 : g.log.snapshot->index) + g.log.entries.size();
 }
-log::Term LastTermOf(const GroupOnDisk& g) {
+log::Term LastTermOf(const StoredGroup& g) {
   if (!g.log.entries.empty()) return g.log.entries.back()->term;
   return g.log.snapshot == nullptr ? 0 : g.log.snapshot->term;
 }
 
-std::vector<GroupOnDisk> GroupsIn(const std::string& folder) {
-  if (!std::filesystem::exists(Disk::FileOf(folder)))
-    throw std::runtime_error(Disk::FileOf(folder) + ": no copies are kept there");
-  Disk disk(
+std::vector<StoredGroup> GroupsIn(const std::string& folder) {
+  if (!std::filesystem::exists(ReplicaStore::FilePath(folder)))
+    throw std::runtime_error(ReplicaStore::FilePath(folder) + ": no copies are kept there");
+  ReplicaStore disk(
       folder, [] {}, true);
   return disk.Read();
 }
@@ -56,7 +56,7 @@
 
 int ShowCopies(const std::string& folder) {
   std::printf("%-44s %10s %10s %9s  %s\n", "GROUP", "LAST TERM", "LAST", "SNAPSHOT", "SERVERS");
-  for (const GroupOnDisk& g : GroupsIn(folder)) {
+  for (const StoredGroup& g : GroupsIn(folder)) {
     std::string servers;
     for (const auto& [id, who] : g.servers) servers += (servers.empty() ? "" : " ") + who.first;
     std::printf("%-44s %10llu %10llu %9llu  %s\n", g.group.c_str(),
@@ -69,24 +69,25 @@
 
 int RestoreCopy(const std::string& folder, const std::string& group, const std::string& to) {
   if (std::filesystem::exists(to)) throw std::runtime_error(to + ": it is there already");
-  for (const GroupOnDisk& g : GroupsIn(folder)) {
+  for (const StoredGroup& g : GroupsIn(folder)) {
     if (g.group != group) continue;
     if (g.log.snapshot == nullptr)
       throw std::runtime_error(group + ": this copy never had the whole; take another");
-    const auto dump = DecodeDump(g.log.snapshot->data);
-    if (!dump) throw std::runtime_error(group + ": its snapshot cannot be read; take another copy");
-    durable::SqliteStore store({to, dump->classes, std::vector<durable::ClassRules>(dump->classes.size()), 0},
-                               durable::SqliteStore::Use::kServe);
-    store.Refill(dump->clock_broke, dump->jobs, {});
-    durable::Applied applied = dump->applied;
+    const auto contents = DecodeStoreContents(g.log.snapshot->data);
+    if (!contents) throw std::runtime_error(group + ": its snapshot cannot be read; take another copy");
+    durable::SqliteStore store(
+        {to, contents->classes, std::vector<durable::ClassRules>(contents->classes.size()), 0},
+        durable::SqliteStore::Use::kServe);
+    store.Refill(contents->clock_broke, contents->jobs, {});
+    durable::Applied applied = contents->applied;
     std::size_t batches = 0;
     for (const log::EntryPtr& e : g.log.entries) {
       if (e->kind != log::EntryKind::kData) continue;
       const auto batch = DecodeBatch(e->data);
       const auto records = batch ? durable::DecodeRecords(batch->records) : std::nullopt;
       if (!records) throw std::runtime_error(group + ": an entry cannot be read; take another copy");
-      if (!Counts(*batch, applied)) continue;  // proposed twice, or by one that held the group no more
-      applied.life = batch->life;
+      if (!IsEffective(*batch, applied)) continue;  // proposed twice, or by one that held the group no more
+      applied.life = batch->epoch;
       applied.number = batch->number;
       store.Append(*records);
       ++batches;
@@ -96,7 +97,7 @@
         "behind it).\nWhat other copies have beyond that entry is lost, unless one of them is taken "
         "instead: compare with heronway copies show.\n",
         to.c_str(), group.c_str(), static_cast<unsigned long long>(LastOf(g)),
-        static_cast<unsigned long long>(LastTermOf(g)), dump->jobs.size(), batches);
+        static_cast<unsigned long long>(LastTermOf(g)), contents->jobs.size(), batches);
     return 0;
   }
   throw std::runtime_error(folder + " has no copy of " + group);
--- a/src/cluster/copies/tool.h
+++ b/src/cluster/copies/commands.h
@@ -1,6 +1,6 @@
 // heronway copies list|show|restore.
-#ifndef HERONWAY_CLUSTER_COPIES_TOOL_H_
-#define HERONWAY_CLUSTER_COPIES_TOOL_H_
+#ifndef HERONWAY_CLUSTER_COPIES_COMMANDS_H_
+#define HERONWAY_CLUSTER_COPIES_COMMANDS_H_
 
 #include <string>
 
@@ -15,4 +15,4 @@
 
 }  // namespace heronway::cluster::copies
 
-#endif  // HERONWAY_CLUSTER_COPIES_TOOL_H_
+#endif  // HERONWAY_CLUSTER_COPIES_COMMANDS_H_
--- a/src/cluster/copies/frames.cpp
+++ b/src/cluster/copies/frames.cpp
@@ -11,10 +11,10 @@
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr const char* kMark = "hwl";
+constexpr const char* kMagic = "hwl";
 
 // Guards the log, the console and the names of files: such texts are printed, and a group's is a file's too.
-std::string Text(pack::Members& in, std::size_t most) {
+std::string PrintableText(pack::Members& in, std::size_t most) {
   std::string text = in.Next().as<std::string>();
   for (const char c : text) pack::Members::Need(c > ' ' && c < 127 && c != '"' && c != '\\');
   pack::Members::Need(text.size() <= most);
@@ -27,8 +27,8 @@
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(11);
-  out.pack(kMark).pack(kVersion).pack(static_cast<int>(f.kind));
-  out.pack(f.fleet).pack(f.from).pack(f.to).pack(f.at).pack(f.group);
+  out.pack(kMagic).pack(kVersion).pack(static_cast<int>(f.kind));
+  out.pack(f.fleet).pack(f.from).pack(f.to).pack(f.detail).pack(f.group);
   out.pack_bin(static_cast<std::uint32_t>(f.message.size()));
   out.pack_bin_body(f.message.data(), static_cast<std::uint32_t>(f.message.size()));
   out.pack(f.server);
@@ -38,24 +38,24 @@
     out.pack(id).pack(who.first).pack(who.second);
   }
   const std::uint32_t size = htonl(static_cast<std::uint32_t>(bytes.size()));
-  std::string whole(reinterpret_cast<const char*>(&size), kHeadBytes);
+  std::string whole(reinterpret_cast<const char*>(&size), kHeaderBytes);
   whole.append(bytes.data(), bytes.size());
   return whole;
 }
 
 std::optional<Frame> Decode(std::string_view bytes) {
   try {
-    const msgpack::unpack_limit limit(64, 0, 256, kMostFrame, 0, 4);
+    const msgpack::unpack_limit limit(64, 0, 256, kMaxFrameBytes, 0, 4);
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
     pack::Members in(whole.get(), 11);
-    if (in.Next().as<std::string_view>() != kMark || in.Next().as<int>() != kVersion) return std::nullopt;
+    if (in.Next().as<std::string_view>() != kMagic || in.Next().as<int>() != kVersion) return std::nullopt;
     Frame f;
-    f.kind = in.Enum(Frame::Kind::kHeard);
-    f.fleet = Text(in, kMostFleet);
-    f.from = Text(in, kMostName);
-    f.to = Text(in, kMostName);
-    f.at = Text(in, 32);
-    f.group = Text(in, kMostGroup);
+    f.kind = in.Enum(Frame::Kind::kReply);
+    f.fleet = PrintableText(in, kMostFleet);
+    f.from = PrintableText(in, kMostName);
+    f.to = PrintableText(in, kMostName);
+    f.detail = PrintableText(in, 32);
+    f.group = PrintableText(in, kMaxGroupNameBytes);
     const msgpack::object& message = in.Next();
     pack::Members::Need(message.type == msgpack::type::BIN);
     f.message.assign(message.via.bin.ptr, message.via.bin.size);
@@ -66,8 +66,8 @@
     for (std::uint32_t i = 0; i < servers.via.array.size; ++i) {
       pack::Members one(servers.via.array.ptr[i], 3);
       const auto id = one.Number<log::ServerId>(1, ~log::ServerId{0});
-      const std::string name = Text(one, kMostName);
-      f.servers[id] = {name, Text(one, 32)};
+      const std::string name = PrintableText(one, kMostName);
+      f.servers[id] = {name, PrintableText(one, 32)};
     }
     return f;
   } catch (const std::exception&) {
--- /dev/null
+++ b/src/cluster/copies/job_lookup.cpp
@@ -0,0 +1,110 @@
+#include "src/cluster/copies/job_lookup.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "src/cluster/copies/frames.h"
+#include "src/pack/members.h"
+
+namespace heronway::cluster::copies {
+namespace {
+
+constexpr std::size_t kMostName = 4096;               // bytes
+constexpr std::size_t kMaxResultBytes = 1024 * 1024;  // bytes
+constexpr std::size_t kMaxGroups = 64;
+
+template <typename T>
+std::string Packed(const T& pack_members) {
+  msgpack::sbuffer bytes;
+  pack::Packer out(bytes);
+  pack_members(out);
+  return {bytes.data(), bytes.size()};
+}
+
+std::string ShortText(pack::Members& in, std::size_t most) {
+  std::string text = in.Next().as<std::string>();
+  pack::Members::Need(text.size() <= most);
+  return text;
+}
+
+std::vector<std::string> Groups(pack::Members& in) {
+  auto groups = in.Next().as<std::vector<std::string>>();
+  pack::Members::Need(groups.size() <= kMaxGroups);
+  for (const std::string& group : groups) pack::Members::Need(group.size() <= kMaxGroupNameBytes);
+  return groups;
+}
+
+}  // namespace
+
+std::string Encode(const JobQuery& query) {
+  return Packed([&query](pack::Packer& out) {
+    out.pack_array(3);
+    out.pack(query.own_group).pack(query.name.text).pack(query.name.is_alias);
+  });
+}
+
+std::string Encode(const JobReply& reply) {
+  return Packed([&reply](pack::Packer& out) {
+    out.pack_array(4);
+    out.pack(static_cast<int>(reply.status)).pack(reply.result).pack(reply.groups).pack(reply.served);
+  });
+}
+
+std::optional<JobQuery> DecodeJobQuery(std::string_view bytes) {
+  try {
+    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
+    pack::Members in(whole.get(), 3);
+    JobQuery query;
+    query.own_group = ShortText(in, kMaxGroupNameBytes);
+    query.name.text = ShortText(in, kMostName);
+    query.name.is_alias = in.Next().as<bool>();
+    return query;
+  } catch (const std::exception&) {
+    return std::nullopt;
+  }
+}
+
+std::optional<JobReply> DecodeJobReply(std::string_view bytes) {
+  try {
+    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
+    pack::Members in(whole.get(), 4);
+    JobReply reply;
+    reply.status = in.Enum(LookupStatus::kFailed);
+    reply.result = ShortText(in, kMaxResultBytes);
+    reply.groups = Groups(in);
+    reply.served = Groups(in);
+    return reply;
+  } catch (const std::exception&) {
+    return std::nullopt;
+  }
+}
+
+LookupResult CombineReplies(const MemberQueries<JobReply>::Outcome& outcome, bool silence_matters) {
+  bool retry = silence_matters && !outcome.unanswered.empty();
+  std::set<std::string> groups, served;
+  for (const auto& [member, reply] : outcome.replies) {
+    if (reply.status >= LookupStatus::kOpen) return {reply.status, reply.result};
+    retry |= reply.status == LookupStatus::kRetry;
+    groups.insert(reply.groups.begin(), reply.groups.end());
+    served.insert(reply.served.begin(), reply.served.end());
+  }
+  const bool all_served = std::includes(served.begin(), served.end(), groups.begin(), groups.end());
+  return {retry || !all_served ? LookupStatus::kRetry : LookupStatus::kUnknown, {}};
+}
+
+FormerReplicas::Plan FormerReplicas::MembersToQuery(Micros now, const std::vector<Candidate>& members,
+                                                    bool no_member_heard) const {
+  Plan plan;
+  plan.wait = data_lost_ && no_member_heard && now - started_at_ < kDiscoveryTime;
+  for (const Candidate& member : members) {
+    if (member.name == self_ || without_groups_.contains(member.name)) continue;
+    if (member.gone_since < 0) {
+      plan.query.push_back(member.name);
+    } else {
+      plan.wait |= silence_matters(member.name) && now - member.gone_since < kDiscoveryTime;
+    }
+  }
+  return plan;
+}
+
+}  // namespace heronway::cluster::copies
--- a/src/cluster/copies/lookup.h
+++ b/src/cluster/copies/job_lookup.h
@@ -1,8 +1,8 @@
 // Whether another member has a job that this scheduler does not know: a scheduler that comes back without its
 // disk has forgotten what it took, and a successor runs it. The group that has the job owns it, so whoever is
 // back asks before it takes a job by a name that it does not know. Pure: what is sent is its caller's.
-#ifndef HERONWAY_CLUSTER_COPIES_LOOKUP_H_
-#define HERONWAY_CLUSTER_COPIES_LOOKUP_H_
+#ifndef HERONWAY_CLUSTER_COPIES_JOB_LOOKUP_H_
+#define HERONWAY_CLUSTER_COPIES_JOB_LOOKUP_H_
 
 #include <cstdint>
 #include <optional>
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
+#include "src/cluster/copies/member_queries.h"
 #include "src/cluster/copies/placement.h"
-#include "src/cluster/copies/questions.h"
 
 namespace heronway::cluster::copies {
 
@@ -23,65 +23,67 @@
 };
 
 // kNotNow: it cannot be told at this moment, and should be asked again.
-enum class Found : std::uint8_t { kUnknown, kNotNow, kOpen, kDone, kFailed };
+enum class LookupStatus : std::uint8_t { kUnknown, kRetry, kOpen, kDone, kFailed };
 
-struct JobQuestion {
+struct JobQuery {
   std::string own_group;  // that the asker's jobs are in now: others of its front's are of lives before
   JobName name;
 };
-struct JobAnswer {
-  Found found = Found::kUnknown;
+struct JobReply {
+  LookupStatus status = LookupStatus::kUnknown;
   std::string result;               // kDone
-  std::vector<std::string> copies;  // groups of the asker's lives before, of which a copy is here
-  std::vector<std::string> held;    // of these, the ones whose jobs are run here
+  std::vector<std::string> groups;  // groups of the asker's lives before, of which a copy is here
+  std::vector<std::string> served;  // of these, the ones whose jobs are run here
 };
 
-std::string Encode(const JobQuestion& question);
-std::string Encode(const JobAnswer& answer);
+std::string Encode(const JobQuery& query);
+std::string Encode(const JobReply& reply);
 // Nothing where the bytes are none.
-std::optional<JobQuestion> DecodeJobQuestion(std::string_view bytes);
-std::optional<JobAnswer> DecodeJobAnswer(std::string_view bytes);
+std::optional<JobQuery> DecodeJobQuery(std::string_view bytes);
+std::optional<JobReply> DecodeJobReply(std::string_view bytes);
 
-struct Verdict {
-  Found found = Found::kUnknown;
+struct LookupResult {
+  LookupStatus status = LookupStatus::kUnknown;
   std::string result;
 };
 // `silence_counts`: a member that did not answer may have the job. A group of which there is a copy, and that
 // nobody holds, may have it in any case.
-Verdict Judge(const Questions<JobAnswer>::Outcome& outcome, bool silence_counts);
+LookupResult CombineReplies(const MemberQueries<JobReply>::Outcome& outcome, bool silence_matters);
 
 // Which members may have copies of what this scheduler took in lives before, for one front.
-class EarlierLives {
+class FormerReplicas {
  public:
-  static constexpr Micros kRemembers = 60'000'000;  // after a start, or since one is gone, to hear of it
+  static constexpr Micros kDiscoveryTime = 60'000'000;  // after a start, or since one is gone, to hear of it
 
   // `forgot`: this life began without what was on the disk before, or is the first.
-  EarlierLives(std::string self, bool forgot, Micros began)
-      : self_(std::move(self)), forgot_(forgot), began_(began) {}
+  FormerReplicas(std::string self, bool data_lost, Micros started_at)
+      : self_(std::move(self)), data_lost_(data_lost), started_at_(started_at) {}
 
   struct Plan {
-    std::vector<std::string> ask;
+    std::vector<std::string> query;
     bool wait = false;  // for members that cannot be asked now and may have something
   };
   // `members`: that keep copies. `nobody_heard`: there should be others, and none has been heard yet.
-  Plan WhomToAsk(Micros now, const std::vector<Candidate>& members, bool nobody_heard) const;
+  Plan MembersToQuery(Micros now, const std::vector<Candidate>& members, bool no_member_heard) const;
   // Copies are made by a group's leader in its owner's life alone: who has none will not get any.
-  void Note(const std::string& member, bool has_copies) {
-    has_copies ? with_.insert(member) : without_.insert(member);
+  void NoteReply(const std::string& member, bool has_copies) {
+    has_copies ? with_groups_.insert(member) : without_groups_.insert(member);
   }
   // One that did not answer. Who went on with its disk takes that for a member that has nothing to say.
-  void NoteSilent(const std::string& member) {
-    if (!forgot_ && !with_.contains(member)) without_.insert(member);
+  void NoteSilence(const std::string& member) {
+    if (!data_lost_ && !with_groups_.contains(member)) without_groups_.insert(member);
+  }
+  bool silence_matters(const std::string& member) const {
+    return data_lost_ || with_groups_.contains(member);
   }
-  bool silence_counts(const std::string& member) const { return forgot_ || with_.contains(member); }
 
  private:
   std::string self_;
-  bool forgot_;
-  Micros began_;
-  std::set<std::string> with_, without_;
+  bool data_lost_;
+  Micros started_at_;
+  std::set<std::string> with_groups_, without_groups_;
 };
 
 }  // namespace heronway::cluster::copies
 
-#endif  // HERONWAY_CLUSTER_COPIES_LOOKUP_H_
+#endif  // HERONWAY_CLUSTER_COPIES_JOB_LOOKUP_H_
--- a/src/cluster/copies/links.cpp
+++ b/src/cluster/copies/links.cpp
@@ -9,12 +9,12 @@
 namespace heronway::cluster::copies {
 
 // One that another member began: it speaks, this one listens.
-struct Links::In : net::Stream::Owner {
-  In(Links& owner, int fd, const net::Address& at)
+struct Links::Inbound : net::Stream::Owner {
+  Inbound(Links& owner, int fd, const net::Address& at)
       : links(owner),
-        greets(owner.shared_.loop, [this] { links.Over(*this); }),
+        hello_timer(owner.shared_.loop, [this] { links.End(*this); }),
         stream(owner.shared_, fd, "copies " + net::ToText(at), *this) {
-    greets.Start(kGreets);
+    hello_timer.Start(kHelloTimeout);
   }
   void OnData(std::string_view some) override {
     links.bytes_in += some.size();
@@ -22,30 +22,30 @@
     stream.Write(".");  // it is taken: the other end tells by it that this connection lives
     if (!stream.open()) return;
     std::size_t used = 0;
-    while (!gone && bytes.size() - used >= kHeadBytes) {
+    while (!ended && bytes.size() - used >= kHeaderBytes) {
       std::uint32_t size = 0;
-      std::memcpy(&size, bytes.data() + used, kHeadBytes);
+      std::memcpy(&size, bytes.data() + used, kHeaderBytes);
       size = ntohl(size);
-      if (size > kMostFrame) return Bad();
-      if (bytes.size() - used < kHeadBytes + size) break;
-      auto frame = Decode(std::string_view(bytes).substr(used + kHeadBytes, size));
-      used += kHeadBytes + size;
-      if (!frame || !Take(std::move(*frame))) return Bad();
+      if (size > kMaxFrameBytes) return RejectFrame();
+      if (bytes.size() - used < kHeaderBytes + size) break;
+      auto frame = Decode(std::string_view(bytes).substr(used + kHeaderBytes, size));
+      used += kHeaderBytes + size;
+      if (!frame || !HandleFrame(std::move(*frame))) return RejectFrame();
     }
     bytes.erase(0, used);
   }
-  bool Take(Frame frame) {
+  bool HandleFrame(Frame frame) {
     if (from.empty()) {
       if (frame.kind != Frame::Kind::kHello || frame.fleet != links.settings_.fleet || frame.from.empty() ||
           frame.to != links.settings_.name || frame.from == links.settings_.name)
         return false;
-      greets.Stop();
+      hello_timer.Stop();
       from = frame.from;
-      if (!frame.at.empty()) links.Place(from, frame.at);
+      if (!frame.detail.empty()) links.SetAddress(from, frame.detail);
       // A newer connection of a member takes the place of the one before, which may be dead without a word.
-      for (const auto& other : links.ins_) {
-        if (other.get() != this && other->from == from && !other->gone) {
-          links.Over(*other);
+      for (const auto& other : links.inbound_) {
+        if (other.get() != this && other->from == from && !other->ended) {
+          links.End(*other);
           break;
         }
       }
@@ -55,49 +55,51 @@
     links.received_(from, std::move(frame));
     return true;
   }
-  void OnEnd(net::Reason) override { links.Over(*this); }
-  void Bad() {
-    ++links.malformed;
-    links.Over(*this);
+  void OnEnd(net::Reason) override { links.End(*this); }
+  void RejectFrame() {
+    ++links.frames_malformed;
+    links.End(*this);
   }
   Links& links;
-  net::Timer greets;
+  net::Timer hello_timer;
   net::Stream stream;
   std::string bytes, from;
-  bool gone = false;
+  bool ended = false;
 };
 
 // One that this member began: it speaks.
-struct Links::Out : net::Stream::Owner {
-  Out(Links& owner, std::string member)
-      : links(owner), to(std::move(member)), again(owner.shared_.loop, [this] { rests = false; }) {}
+struct Links::Outbound : net::Stream::Owner {
+  Outbound(Links& owner, std::string member)
+      : links(owner),
+        to(std::move(member)),
+        redial_timer(owner.shared_.loop, [this] { redial_delayed = false; }) {}
   void OnUp() override {
     Frame hello;
     hello.fleet = links.settings_.fleet;
     hello.from = links.settings_.name;
     hello.to = to;
-    hello.at = net::ToText(links.address());
+    hello.detail = net::ToText(links.address());
     Write(Encode(hello));
-    for (const std::string& frame : std::exchange(waiting, {})) Write(frame);
+    for (const std::string& frame : std::exchange(queued, {})) Write(frame);
   }
-  void OnData(std::string_view) override { asked = -1; }
-  void OnSent() override { unsent = 0; }
-  void OnEnd(net::Reason) override { links.Over(*this); }
+  void OnData(std::string_view) override { unacked_since = -1; }
+  void OnSent() override { unsent_bytes = 0; }
+  void OnEnd(net::Reason) override { links.End(*this); }
   void Write(const std::string& frame) {
     if (!stream || !stream->open()) return;
-    if (asked < 0) asked = links.shared_.loop.Now();
-    unsent += frame.size();
+    if (unacked_since < 0) unacked_since = links.shared_.loop.Now();
+    unsent_bytes += frame.size();
     links.bytes_out += frame.size();
     stream->Write(frame);
   }
   Links& links;
   std::string to;
-  net::Timer again;
+  net::Timer redial_timer;
   std::shared_ptr<net::Stream> stream;
-  std::vector<std::string> waiting;  // until it is up
-  std::size_t unsent = 0, waits = 0;
-  net::Micros asked = -1;  // the first that was written since the other end was heard
-  bool rests = false;      // it was tried a moment ago
+  std::vector<std::string> queued;  // until it is up
+  std::size_t unsent_bytes = 0, queued_bytes = 0;
+  net::Micros unacked_since = -1;  // the first that was written since the other end was heard
+  bool redial_delayed = false;     // it was tried a moment ago
 };
 
 Links::Links(net::Shared& shared, const Settings& settings,
@@ -108,94 +110,97 @@
       listener_(
           shared.loop, settings.listen, limits::AcceptSettings{}, [this](bool) { return MakeRoom(); },
           [this](int fd, const net::Address& from) {
-            ins_.push_back(std::make_shared<In>(*this, fd, from));
+            inbound_.push_back(std::make_shared<Inbound>(*this, fd, from));
           }) {}
 
 Links::~Links() {
-  while (!ins_.empty()) Over(*ins_.front());
-  for (auto& [name, out] : outs_) {
+  while (!inbound_.empty()) End(*inbound_.front());
+  for (auto& [name, out] : outbound_) {
     if (out->stream && out->stream->open()) out->stream->Close(net::Reason::kShutdown);
   }
 }
 
 // Guards the members that are heard against a crowd that says nothing: the oldest that has not greeted goes.
 bool Links::MakeRoom() {
-  if (ins_.size() < kMostIn) return true;
-  const auto silent = std::find_if(ins_.begin(), ins_.end(), [](const auto& in) { return in->from.empty(); });
-  Over(silent == ins_.end() ? *ins_.front() : **silent);
+  if (inbound_.size() < kMaxInbound) return true;
+  const auto without_hello =
+      std::find_if(inbound_.begin(), inbound_.end(), [](const auto& in) { return in->from.empty(); });
+  End(without_hello == inbound_.end() ? *inbound_.front() : **without_hello);
   return true;
 }
 
-void Links::Place(const std::string& member, const std::string& at) {
-  if (net::ParseAddress(at) && member != settings_.name) places_[member] = at;
+void Links::SetAddress(const std::string& member, const std::string& at) {
+  if (net::ParseAddress(at) && member != settings_.name) addresses_[member] = at;
 }
 
-std::string Links::PlaceOf(const std::string& member) const {
+std::string Links::AddressOf(const std::string& member) const {
   if (member == settings_.name) return net::ToText(address());
-  const auto it = places_.find(member);
-  return it == places_.end() ? "" : it->second;
+  const auto it = addresses_.find(member);
+  return it == addresses_.end() ? "" : it->second;
 }
 
-bool Links::Up(const std::string& member) const {
-  const auto it = outs_.find(member);
-  return it != outs_.end() && it->second->stream && it->second->stream->up();
+bool Links::IsConnected(const std::string& member) const {
+  const auto it = outbound_.find(member);
+  return it != outbound_.end() && it->second->stream && it->second->stream->up();
 }
 
 void Links::Send(const std::string& to, const Frame& frame) {
-  auto it = outs_.find(to);
-  if (it == outs_.end()) {
-    if (outs_.size() >= kMostOut || to == settings_.name) {
-      ++lost;
+  auto it = outbound_.find(to);
+  if (it == outbound_.end()) {
+    if (outbound_.size() >= kMaxOutbound || to == settings_.name) {
+      ++frames_lost;
       return;
     }
-    it = outs_.emplace(to, std::make_unique<Out>(*this, to)).first;
+    it = outbound_.emplace(to, std::make_unique<Outbound>(*this, to)).first;
   }
-  Out& out = *it->second;
+  Outbound& out = *it->second;
   // Guards against a connection that a cut has left open and silent: the system would go on trying for
   // minutes.
-  if (out.asked >= 0 && shared_.loop.Now() - out.asked > kSilent && out.stream && out.stream->open()) {
+  if (out.unacked_since >= 0 && shared_.loop.Now() - out.unacked_since > kAckTimeout && out.stream &&
+      out.stream->open()) {
     out.stream->Close(net::Reason::kNoAnswer);
-    Over(out);
+    End(out);
   }
   if (!out.stream || !out.stream->open()) Dial(out);
   const std::string bytes = Encode(frame);
-  if (!out.stream || out.unsent + out.waits + bytes.size() > kMostWaiting) {
-    ++lost;
+  if (!out.stream || out.unsent_bytes + out.queued_bytes + bytes.size() > kMaxQueuedBytes) {
+    ++frames_lost;
     return;
   }
   if (out.stream->up()) return out.Write(bytes);
-  out.waits += bytes.size();
-  out.waiting.push_back(bytes);
+  out.queued_bytes += bytes.size();
+  out.queued.push_back(bytes);
 }
 
-void Links::Dial(Out& out) {
-  if (out.rests) return;
-  const auto way = settings_.reach.find(out.to);
-  const auto at =
-      way != settings_.reach.end() ? std::optional(way->second) : net::ParseAddress(PlaceOf(out.to));
-  out.rests = true;
-  out.again.Start(kDialsAgain);
+void Links::Dial(Outbound& out) {
+  if (out.redial_delayed) return;
+  const auto configured = settings_.dial_addresses.find(out.to);
+  const auto at = configured != settings_.dial_addresses.end() ? std::optional(configured->second)
+                                                               : net::ParseAddress(AddressOf(out.to));
+  out.redial_delayed = true;
+  out.redial_timer.Start(kRedialDelay);
   if (!at) return;
-  out.waiting.clear();
-  out.waits = out.unsent = 0;
-  out.asked = -1;
-  out.stream = std::make_shared<net::Stream>(shared_, *at, kDials, "copies " + net::ToText(*at), out);
+  out.queued.clear();
+  out.queued_bytes = out.unsent_bytes = 0;
+  out.unacked_since = -1;
+  out.stream = std::make_shared<net::Stream>(shared_, *at, kDialTimeout, "copies " + net::ToText(*at), out);
 }
 
-void Links::Over(Out& out) {
-  out.waiting.clear();
-  out.waits = out.unsent = 0;
+void Links::End(Outbound& out) {
+  out.queued.clear();
+  out.queued_bytes = out.unsent_bytes = 0;
   if (out.stream) shared_.loop.Bury(std::exchange(out.stream, nullptr));
 }
 
-void Links::Over(In& in) {
-  if (std::exchange(in.gone, true)) return;
-  in.greets.Stop();
+void Links::End(Inbound& in) {
+  if (std::exchange(in.ended, true)) return;
+  in.hello_timer.Stop();
   if (in.stream.open()) in.stream.Close(net::Reason::kPeerClosed);
-  const auto it = std::find_if(ins_.begin(), ins_.end(), [&in](const auto& p) { return p.get() == &in; });
-  if (it == ins_.end()) return;
+  const auto it =
+      std::find_if(inbound_.begin(), inbound_.end(), [&in](const auto& p) { return p.get() == &in; });
+  if (it == inbound_.end()) return;
   shared_.loop.Bury(std::move(*it));
-  ins_.erase(it);
+  inbound_.erase(it);
 }
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/links.h
+++ b/src/cluster/copies/links.h
@@ -17,19 +17,21 @@
 
 class Links {
  public:
-  static constexpr std::size_t kMostIn = 24;                    // connections that others began
-  static constexpr std::size_t kMostOut = 24;                   // members that are spoken to
-  static constexpr std::size_t kMostWaiting = 4 * 1024 * 1024;  // bytes not sent yet, of each
-  static constexpr net::Micros kGreets = 2'000'000;             // a connection that says nobody is ended
-  static constexpr net::Micros kSilent =
+  static constexpr std::size_t kMaxInbound = 24;                   // connections that others began
+  static constexpr std::size_t kMaxOutbound = 24;                  // members that are spoken to
+  static constexpr std::size_t kMaxQueuedBytes = 4 * 1024 * 1024;  // bytes not sent yet, of each
+  static constexpr net::Micros kHelloTimeout = 2'000'000;          // a connection that says nobody is ended
+  static constexpr net::Micros kAckTimeout =
       3'000'000;  // a connection whose other end takes nothing is begun anew
-  static constexpr net::Micros kDials = 1'000'000, kDialsAgain = 250'000;
-  static constexpr std::size_t kDescriptors = kMostIn + kMostOut + 1;  // to be taken off the clients' share
+  static constexpr net::Micros kDialTimeout = 1'000'000, kRedialDelay = 250'000;
+  static constexpr std::size_t kDescriptors =
+      kMaxInbound + kMaxOutbound + 1;  // to be taken off the clients' share
 
   struct Settings {
     std::string fleet, name;
     net::Address listen{};
-    std::map<std::string, net::Address> reach;  // by member: the way there, before where it says that it is
+    std::map<std::string, net::Address>
+        dial_addresses;  // by member: the way there, before where it says that it is
   };
   // Throws std::runtime_error where it cannot listen.
   Links(net::Shared& shared, const Settings& settings,
@@ -39,31 +41,32 @@
   Links& operator=(const Links&) = delete;
 
   // Where a member listens; the last word counts.
-  void Place(const std::string& member, const std::string& at);
-  std::string PlaceOf(const std::string& member) const;  // empty: not known
+  void SetAddress(const std::string& member, const std::string& address);
+  std::string AddressOf(const std::string& member) const;  // empty: not known
   void Send(const std::string& to, const Frame& frame);
   net::Address address() const { return listener_.address(); }
-  bool Up(const std::string& member) const;
+  bool IsConnected(const std::string& member) const;
   // In either direction; a member that is spoken to counts whether or not its connection is up.
   std::size_t unused_connections() const {
-    return kMostIn + kMostOut - std::min(kMostIn + kMostOut, ins_.size() + outs_.size());
+    return kMaxInbound + kMaxOutbound -
+           std::min(kMaxInbound + kMaxOutbound, inbound_.size() + outbound_.size());
   }
-  std::uint64_t lost = 0, malformed = 0, bytes_in = 0, bytes_out = 0;
+  std::uint64_t frames_lost = 0, frames_malformed = 0, bytes_in = 0, bytes_out = 0;
 
  private:
-  struct In;
-  struct Out;
+  struct Inbound;
+  struct Outbound;
   bool MakeRoom();
-  void Dial(Out& out);
-  void Over(Out& out);
-  void Over(In& in);
+  void Dial(Outbound& out);
+  void End(Outbound& out);
+  void End(Inbound& in);
 
   net::Shared& shared_;
   Settings settings_;
   std::function<void(const std::string&, Frame)> received_;
-  std::map<std::string, std::string> places_;
-  std::map<std::string, std::unique_ptr<Out>> outs_;
-  std::list<std::shared_ptr<In>> ins_;  // the oldest in front
+  std::map<std::string, std::string> addresses_;
+  std::map<std::string, std::unique_ptr<Outbound>> outbound_;
+  std::list<std::shared_ptr<Inbound>> inbound_;  // the oldest in front
   net::Listener listener_;
 };
 
--- a/src/cluster/copies/dump.cpp
+++ b/src/cluster/copies/log_content.cpp
@@ -1,15 +1,15 @@
-#include "src/cluster/copies/dump.h"
+#include "src/cluster/copies/log_content.h"
 
 #include <algorithm>
 
-#include "src/cluster/copies/own_group.h"
+#include "src/cluster/copies/replicated_store.h"
 #include "src/durable/codec.h"
 #include "src/pack/members.h"
 
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr int kForm = 1;
+constexpr int kFormatVersion = 1;
 
 void PackBytes(pack::Packer& out, std::string_view bytes) {
   out.pack_bin(static_cast<std::uint32_t>(bytes.size()));
@@ -19,14 +19,14 @@
   pack::Members::Need(o.type == msgpack::type::BIN);
   return {o.via.bin.ptr, o.via.bin.size};
 }
-std::string Whole(const msgpack::sbuffer& bytes) { return {bytes.data(), bytes.size()}; }
+std::string ToString(const msgpack::sbuffer& bytes) { return {bytes.data(), bytes.size()}; }
 
 template <typename T, typename Read>
 std::optional<T> Decode(std::string_view bytes, Read read) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
     pack::Members in(whole.get(), 4);
-    pack::Members::Need(in.Number<int>(1, 1 << 20) == kForm);
+    pack::Members::Need(in.Number<int>(1, 1 << 20) == kFormatVersion);
     return read(in);
   } catch (const std::exception&) {
     return std::nullopt;
@@ -39,45 +39,45 @@
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(4);
-  out.pack(kForm).pack(batch.life).pack(batch.number);
+  out.pack(kFormatVersion).pack(batch.epoch).pack(batch.number);
   PackBytes(out, batch.records);
-  return Whole(bytes);
+  return ToString(bytes);
 }
 
 std::optional<Batch> DecodeBatch(std::string_view bytes) {
   return Decode<Batch>(bytes, [](pack::Members& in) {
     Batch b;
-    b.life = in.Number<std::uint64_t>(0, ~std::uint64_t{0});
+    b.epoch = in.Number<std::uint64_t>(0, ~std::uint64_t{0});
     b.number = in.Number<std::uint64_t>(0, ~std::uint64_t{0});
     b.records = Bytes(in.Next());
     return b;
   });
 }
 
-bool Counts(const Batch& batch, const durable::Applied& at) {
+bool IsEffective(const Batch& batch, const durable::Applied& at) {
   if (batch.number == 0) return true;
-  if ((batch.life & kFenced) == 0) return batch.life != at.life || batch.number > at.number;
-  return batch.life == at.life && batch.number > at.number;
+  if ((batch.epoch & kFencedEpoch) == 0) return batch.epoch != at.life || batch.number > at.number;
+  return batch.epoch == at.life && batch.number > at.number;
 }
 
-std::string Encode(const Dump& dump) {
+std::string Encode(const StoreContents& contents) {
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(7);
-  out.pack(kForm).pack(dump.classes).pack(dump.clock_broke);
-  out.pack(dump.applied.index).pack(dump.applied.life).pack(dump.applied.number);
-  out.pack_array(static_cast<std::uint32_t>(dump.jobs.size()));
-  for (const auto& [id, job] : dump.jobs) {
+  out.pack(kFormatVersion).pack(contents.classes).pack(contents.clock_broke);
+  out.pack(contents.applied.index).pack(contents.applied.life).pack(contents.applied.number);
+  out.pack_array(static_cast<std::uint32_t>(contents.jobs.size()));
+  for (const auto& [id, job] : contents.jobs) {
     out.pack_array(2);
     out.pack(id);
     PackBytes(out, durable::Encode(job));
   }
-  return Whole(bytes);
+  return ToString(bytes);
 }
 
-std::optional<Dump> DecodeDump(std::string_view bytes) {
-  return Decode<Dump>(bytes, [](pack::Members& in) {
-    Dump d;
+std::optional<StoreContents> DecodeStoreContents(std::string_view bytes) {
+  return Decode<StoreContents>(bytes, [](pack::Members& in) {
+    StoreContents d;
     d.classes = in.Next().as<std::vector<std::string>>();
     d.clock_broke = in.Next().as<durable::Micros>();
     d.applied.index = in.Next().as<std::uint64_t>();
@@ -96,45 +96,45 @@
   });
 }
 
-Dump DumpOf(durable::SqliteStore& store) {
-  Dump dump;
+StoreContents ReadContents(durable::SqliteStore& store) {
+  StoreContents contents;
   durable::JobBook book(store.classes());
   store.Read({[&](durable::Micros at) { book.set_clock_broke(at); },
               [&](const std::string& id, durable::Job job) { return book.Restore(id, std::move(job)); },
               [&](const durable::Record& r) { return book.Apply(r); },
-              [&](const durable::Applied& at) { dump.applied = at; }});
-  dump.classes = store.names();
-  dump.clock_broke = book.clock_broke();
-  for (const auto& [id, job] : book.jobs()) dump.jobs.emplace_back(id, job);
-  return dump;
+              [&](const durable::Applied& at) { contents.applied = at; }});
+  contents.classes = store.names();
+  contents.clock_broke = book.clock_broke();
+  for (const auto& [id, job] : book.jobs()) contents.jobs.emplace_back(id, job);
+  return contents;
 }
 
-Said SaidBy(const log::Log& log, log::Index after, log::Index last) {
-  Said said;
-  if (log.snapshot() != nullptr && after < log.snapshot()->index) said.snapshot = log.snapshot();
-  said.first = std::max(log.first(), after + 1);
-  for (log::Index i = said.first; i <= last; ++i) said.entries.push_back(log.EntryAt(i));
-  return said;
+LogSection ReadLog(const log::Log& log, log::Index after, log::Index last) {
+  LogSection section;
+  if (log.snapshot() != nullptr && after < log.snapshot()->index) section.snapshot = log.snapshot();
+  section.first = std::max(log.first(), after + 1);
+  for (log::Index i = section.first; i <= last; ++i) section.entries.push_back(log.EntryAt(i));
+  return section;
 }
 
-durable::Applied CatchUp(durable::SqliteStore& store, const Said& said) {
+durable::Applied CatchUp(durable::SqliteStore& store, const LogSection& section) {
   durable::Applied applied = store.applied();
-  if (said.snapshot != nullptr && applied.index < said.snapshot->index) {
-    const auto dump = DecodeDump(said.snapshot->data);
-    if (!dump)
+  if (section.snapshot != nullptr && applied.index < section.snapshot->index) {
+    const auto contents = DecodeStoreContents(section.snapshot->data);
+    if (!contents)
       throw durable::StoreError(durable::StoreError::Kind::kCorrupt,
                                 "copies: the snapshot of " + store.file() + " cannot be read");
     // Guards jobs of another site's classes, or another order of them.
-    if (dump->classes != store.names())
+    if (contents->classes != store.names())
       throw durable::StoreError(durable::StoreError::Kind::kOther,
                                 "copies: they are of other classes than here");
-    applied = dump->applied;
-    applied.index = said.snapshot->index;
-    store.Refill(dump->clock_broke, dump->jobs, applied);
+    applied = contents->applied;
+    applied.index = section.snapshot->index;
+    store.Refill(contents->clock_broke, contents->jobs, applied);
   }
-  log::Index index = said.first;
-  for (const log::EntryPtr& e : said.entries) {
-    if (e->kind == log::EntryKind::kData) CopiedStore::Apply(store, applied, {index, e->data});
+  log::Index index = section.first;
+  for (const log::EntryPtr& e : section.entries) {
+    if (e->kind == log::EntryKind::kData) ReplicatedStore::Apply(store, applied, {index, e->data});
     ++index;
   }
   return applied;
--- a/src/cluster/copies/dump.h
+++ b/src/cluster/copies/log_content.h
@@ -1,6 +1,6 @@
 // What goes through a group's log: batches of records, and a store whole, as its snapshot.
-#ifndef HERONWAY_CLUSTER_COPIES_DUMP_H_
-#define HERONWAY_CLUSTER_COPIES_DUMP_H_
+#ifndef HERONWAY_CLUSTER_COPIES_LOG_CONTENT_H_
+#define HERONWAY_CLUSTER_COPIES_LOG_CONTENT_H_
 
 #include <optional>
 #include <string>
@@ -20,37 +20,37 @@
 // hold. That is the fence against a process that stood still or was cut off and goes on as if it held the
 // group: what it proposes then is in the log, perhaps, and counts for nothing anywhere.
 struct Batch {
-  std::uint64_t life = 0, number = 0;
+  std::uint64_t epoch = 0, number = 0;
   std::string records;  // as durable::Encode has them
 };
 // In the life of each hold. Lives without it are of programs that knew no fence: each new one counts.
-inline constexpr std::uint64_t kFenced = std::uint64_t{1} << 63;
+inline constexpr std::uint64_t kFencedEpoch = std::uint64_t{1} << 63;
 std::string Encode(const Batch& batch);
 std::optional<Batch> DecodeBatch(std::string_view bytes);
 // Whether it counts where a store stands at `at`.
-bool Counts(const Batch& batch, const durable::Applied& at);
+bool IsEffective(const Batch& batch, const durable::Applied& applied);
 
-struct Dump {
+struct StoreContents {
   std::vector<std::string> classes;  // names, in their order
   durable::Applied applied;          // where the store stood in its log
   durable::Micros clock_broke = 0;
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
-std::string Encode(const Dump& dump);
-std::optional<Dump> DecodeDump(std::string_view bytes);
+std::string Encode(const StoreContents& contents);
+std::optional<StoreContents> DecodeStoreContents(std::string_view bytes);
 // Everything that a store holds. Throws durable::StoreError.
-Dump DumpOf(durable::SqliteStore& store);
+StoreContents ReadContents(durable::SqliteStore& store);
 
 // What a log says from some entry on: its snapshot, and the entries behind it or behind that entry.
-struct Said {
+struct LogSection {
   log::SnapshotPtr snapshot;
   log::Index first = 1;  // of `entries`
   std::vector<log::EntryPtr> entries;
 };
-Said SaidBy(const log::Log& log, log::Index after, log::Index last);
+LogSection ReadLog(const log::Log& log, log::Index after, log::Index last);
 // Puts a store where its log says. Gives where it stands then. Throws durable::StoreError.
-durable::Applied CatchUp(durable::SqliteStore& store, const Said& said);
+durable::Applied CatchUp(durable::SqliteStore& store, const LogSection& section);
 
 }  // namespace heronway::cluster::copies
 
-#endif  // HERONWAY_CLUSTER_COPIES_DUMP_H_
+#endif  // HERONWAY_CLUSTER_COPIES_LOG_CONTENT_H_
--- /dev/null
+++ b/src/cluster/copies/lookup_requests.cpp
@@ -0,0 +1,168 @@
+// Jobs that this scheduler does not know, and another may have from a life of it before.
+#include <algorithm>
+#include <utility>
+
+#include "src/cluster/copies/group.h"
+#include "src/log/log.h"
+
+namespace heronway::cluster::copies {
+namespace {
+
+constexpr Micros kLookupRetryInterval = 50'000;  // a link that has just failed loses what is sent
+
+// Whether the members that are left when its owner's disk is lost can lead it: else only an operator can.
+bool MayBeLedWithoutOwner(const log::Members& members, const Servers& servers, const std::string& owner) {
+  const auto others = std::count_if(members.voters.begin(), members.voters.end(), [&](log::ServerId id) {
+    const auto who = servers.find(id);
+    return who != servers.end() && who->second.first != owner;
+  });
+  return static_cast<std::size_t>(others) > members.voters.size() / 2;
+}
+
+}  // namespace
+
+void ReplicaManager::LookUpJob(const std::string& front, JobName name, Micros patience,
+                               std::function<void(LookupResult)> told) {
+  PendingLookup lookup{front, std::move(name), shared_.loop.Now() + patience, std::move(told)};
+  if (TryLookup(lookup)) return;
+  if (pending_lookups_.size() >= MemberQueries<JobReply>::kMaxOpen)
+    return lookup.told({LookupStatus::kRetry, {}});
+  pending_lookups_.push_back(std::move(lookup));
+  if (!lookup_retry_timer_.running()) lookup_retry_timer_.Start(kLookupRetryInterval);
+}
+
+// False: members that may have the job cannot be asked yet.
+bool ReplicaManager::TryLookup(PendingLookup& lookup) {
+  const auto own = own_fronts_.find(lookup.front);
+  const bool no_former_replicas = own == own_fronts_.end() || own->second.no_former_replicas;
+  const FormerReplicas::Plan plan =
+      no_former_replicas ? FormerReplicas::Plan{} : MembersToQuery(own->second.former);
+  if (plan.wait || lookup_queries_.full()) return false;
+  if (plan.query.empty()) {
+    lookup.told({LookupStatus::kUnknown, {}});
+    return true;
+  }
+  ++lookups_sent_;
+  SendQuery(
+      lookup.front, lookup.name, plan.query, lookup.until - shared_.loop.Now(),
+      [this, front = lookup.front, told = std::move(lookup.told)](MemberQueries<JobReply>::Outcome outcome) {
+        const FormerReplicas& former = own_fronts_.at(front).former;
+        const bool silence_matters =
+            std::any_of(outcome.unanswered.begin(), outcome.unanswered.end(),
+                        [&former](const std::string& member) { return former.silence_matters(member); });
+        LookupResult result = CombineReplies(outcome, silence_matters);
+        jobs_found_elsewhere_ += result.status >= LookupStatus::kOpen ? 1 : 0;
+        told(std::move(result));
+      });
+  return true;
+}
+
+FormerReplicas::Plan ReplicaManager::MembersToQuery(const FormerReplicas& former) {
+  std::vector<Candidate> keep_copies;
+  bool no_member_heard = settings_.expects_peers;
+  for (const KnownMember& member : member_source_ ? member_source_() : std::vector<KnownMember>{}) {
+    no_member_heard &= member.name == settings_.name;
+    if (member.gone_since >= 0 || !member.address.empty()) keep_copies.push_back(member);
+    if (!member.address.empty()) links_.SetAddress(member.name, member.address);
+  }
+  return former.MembersToQuery(shared_.loop.Now(), keep_copies, no_member_heard);
+}
+
+void ReplicaManager::RetryLookups() {
+  const Micros now = shared_.loop.Now();
+  for (PendingLookup& lookup : std::exchange(pending_lookups_, {})) {
+    if (lookup.until <= now) {
+      lookup.told({LookupStatus::kRetry, {}});
+    } else if (!TryLookup(lookup)) {
+      pending_lookups_.push_back(std::move(lookup));
+    }
+  }
+  for (auto it = open_queries_.begin(); it != open_queries_.end();) {
+    const std::set<std::string>* unanswered = lookup_queries_.Unanswered(it->first);
+    for (const std::string& member : unanswered != nullptr ? *unanswered : std::set<std::string>{})
+      links_.Send(member, it->second);
+    it = unanswered != nullptr ? std::next(it) : open_queries_.erase(it);
+  }
+  if (!pending_lookups_.empty() || !open_queries_.empty()) lookup_retry_timer_.Start(kLookupRetryInterval);
+}
+
+// Says to whoever may have copies of a life before that there is another now, and hears whether it does.
+void ReplicaManager::QueryFormerReplicas() {
+  for (auto& [front, own] : own_fronts_) {
+    const FormerReplicas::Plan plan = MembersToQuery(own.former);
+    own.no_former_replicas = plan.query.empty() && !plan.wait;
+    if (plan.query.empty() || lookup_queries_.full()) continue;
+    SendQuery(front, {}, plan.query, ReportForwarder::kPatience,
+              [this, &own](const MemberQueries<JobReply>::Outcome& outcome) {
+                for (const std::string& member : outcome.unanswered) {
+                  if (links_.IsConnected(member)) own.former.NoteSilence(member);
+                }
+              });
+  }
+}
+
+void ReplicaManager::SendQuery(const std::string& front, const JobName& name,
+                               const std::vector<std::string>& members, Micros patience,
+                               MemberQueries<JobReply>::Done told) {
+  Frame query;
+  query.kind = Frame::Kind::kRequest;
+  query.detail = kLookup;
+  query.group = front;
+  query.message = Encode(JobQuery{own_fronts_.at(front).group, name});
+  query.server = lookup_queries_.Start(members, patience, std::move(told));
+  for (const std::string& member : members) links_.Send(member, query);
+  open_queries_.emplace(query.server, std::move(query));
+  if (!lookup_retry_timer_.running()) lookup_retry_timer_.Start(kLookupRetryInterval);
+}
+
+void ReplicaManager::OnQuery(const std::string& from, const Frame& f) {
+  const auto query = DecodeJobQuery(f.message);
+  if (!query || OwnerOf(query->own_group) != from || FrontOf(query->own_group) != f.group) {
+    ++links_.frames_malformed;
+    return;
+  }
+  JobReply reply;
+  for (const auto& [name, group] : groups_) {
+    Group& g = *group;
+    if (g.own || OwnerOf(name) != from || FrontOf(name) != f.group) continue;
+    if (name == query->own_group) {  // also where it was another's a moment ago: its disk is back
+      g.abandoned_since = -1;
+      continue;
+    }
+    if (g.abandoned_since < 0) {
+      g.abandoned_since = shared_.loop.Now();
+      heronway::log::Event(heronway::log::Level::kInfo, "copies",
+                           {{"group", name}, {"state", "its owner has lost it"}});
+    }
+    if (!MayBeLedWithoutOwner(g.log->members(), g.servers, from)) continue;
+    reply.groups.push_back(name);
+    if (g.channel && !g.loading) reply.served.push_back(name);
+  }
+  const auto send = [this, from, number = f.server, front = f.group,
+                     reply = std::move(reply)](LookupResult result) mutable {
+    reply.status = result.status;
+    reply.result = std::move(result.result);
+    Frame out;
+    out.kind = Frame::Kind::kReply;
+    out.detail = kLookup;
+    out.group = front;
+    out.server = number;
+    out.message = Encode(reply);
+    links_.Send(from, out);
+  };
+  if (query->name.text.empty() || !front_hooks_.find) return std::function<void(LookupResult)>(send)({});
+  front_hooks_.find(f.group, query->name, send);
+}
+
+void ReplicaManager::OnReply(const std::string& from, const Frame& f) {
+  auto reply = DecodeJobReply(f.message);
+  const auto own = own_fronts_.find(f.group);
+  if (!reply || own == own_fronts_.end()) {
+    ++links_.frames_malformed;
+    return;
+  }
+  own->second.former.NoteReply(from, !reply->groups.empty());
+  lookup_queries_.OnReply(f.server, from, std::move(*reply));
+}
+
+}  // namespace heronway::cluster::copies
--- /dev/null
+++ b/src/cluster/copies/member_queries.h
@@ -0,0 +1,103 @@
+// Questions to several members at once: whom an answer is waited for, and until when. Bounded in number and
+// time. Pure but for the loop's timer: what is sent, and what the answers mean, is its caller's.
+#ifndef HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
+#define HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
+
+#include <algorithm>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "src/net/loop.h"
+
+namespace heronway::cluster::copies {
+
+template <typename Reply>
+class MemberQueries {
+ public:
+  static constexpr std::size_t kMaxOpen = 256;
+  // What came until the question ended.
+  struct Outcome {
+    std::vector<std::pair<std::string, Reply>> replies;  // by member, in the order in which they came
+    std::set<std::string> unanswered;                    // were asked and have not answered
+  };
+  using Done = std::function<void(Outcome)>;
+
+  // `decides`: an answer that ends its question, whatever the others would say.
+  MemberQueries(net::Loop& loop, std::function<bool(const Reply&)> is_final)
+      : loop_(loop), timer_(loop, [this] { EndExpired(); }), is_final_(std::move(is_final)) {}
+
+  bool full() const { return open_.size() >= kMaxOpen; }
+  std::size_t open() const { return open_.size(); }
+
+  // Who has not answered yet; null where the question is over.
+  const std::set<std::string>* Unanswered(std::uint64_t id) const {
+    const auto it = open_.find(id);
+    return it == open_.end() ? nullptr : &it->second.outcome.unanswered;
+  }
+
+  // The number under which `members`, of which there is one at least, are to be asked. `told` is called once:
+  // when all have answered, one has decided it, or `patience` microseconds are over.
+  std::uint64_t Start(const std::vector<std::string>& members, net::Micros patience, Done told) {
+    Query& query = open_[++last_id_];
+    query.told = std::move(told);
+    query.outcome.unanswered.insert(members.begin(), members.end());
+    query.deadline = loop_.Now() + patience;
+    ArmTimer();
+    return last_id_;
+  }
+  void OnReply(std::uint64_t id, const std::string& member, Reply reply) {
+    const auto it = open_.find(id);
+    if (it == open_.end() || it->second.outcome.unanswered.erase(member) == 0) return;
+    const bool is_final = is_final_(reply);
+    it->second.outcome.replies.emplace_back(member, std::move(reply));
+    if (is_final || it->second.outcome.unanswered.empty()) End(it);
+  }
+
+ private:
+  struct Query {
+    Done told;
+    Outcome outcome;
+    net::Micros deadline = 0;
+  };
+  using Open = std::map<std::uint64_t, Query>;
+
+  void End(typename Open::iterator it) {
+    Query ended = std::move(it->second);
+    open_.erase(it);
+    ended.told(std::move(ended.outcome));
+  }
+  void EndExpired() {
+    for (;;) {
+      const auto due = std::find_if(open_.begin(), open_.end(),
+                                    [now = loop_.Now()](const auto& q) { return q.second.deadline <= now; });
+      if (due == open_.end()) break;
+      End(due);
+    }
+    ArmTimer();
+  }
+  void ArmTimer() {
+    const auto first = std::min_element(open_.begin(), open_.end(), [](const auto& a, const auto& b) {
+      return a.second.deadline < b.second.deadline;
+    });
+    if (first == open_.end()) return;
+    if (timer_.running() && timer_at_ <= first->second.deadline) return;
+    timer_at_ = first->second.deadline;
+    timer_.Start(std::max<net::Micros>(1, timer_at_ - loop_.Now()));
+  }
+
+  net::Loop& loop_;
+  net::Timer timer_;
+  net::Micros timer_at_ = 0;
+  std::function<bool(const Reply&)> is_final_;
+  std::uint64_t last_id_ = 0;
+  Open open_;  // by number
+};
+
+}  // namespace heronway::cluster::copies
+
+#endif  // HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
--- a/src/cluster/copies/placement.cpp
+++ b/src/cluster/copies/placement.cpp
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-std::vector<std::string> Place(const std::string& owner, const std::vector<Candidate>& members, int copies) {
+std::vector<std::string> ChooseReplicas(const std::string& owner, const std::vector<Candidate>& members,
+                                        int copies) {
   std::vector<const Candidate*> by_weight;
   for (const Candidate& c : members) {
     if (c.gone_since < 0) by_weight.push_back(&c);
@@ -46,33 +47,33 @@
   return out;
 }
 
-std::optional<Move> NextMove(const std::string& owner, const std::vector<std::string>& holders,
-                             const std::vector<Candidate>& members, int copies, Micros now, Micros patience,
-                             bool balance) {
-  const std::vector<std::string> wanted = Place(owner, members, copies);
-  const auto holds = [&](const std::string& name) {
-    return std::find(holders.begin(), holders.end(), name) != holders.end();
+std::optional<ReplicaChange> NextChange(const std::string& owner, const std::vector<std::string>& current,
+                                        const std::vector<Candidate>& members, int copies, Micros now,
+                                        Micros replacement_delay, bool rebalance) {
+  const std::vector<std::string> wanted = ChooseReplicas(owner, members, copies);
+  const auto is_current = [&](const std::string& name) {
+    return std::find(current.begin(), current.end(), name) != current.end();
   };
   const auto is_wanted = [&](const std::string& name) {
     return std::find(wanted.begin(), wanted.end(), name) != wanted.end();
   };
   std::string add, lost, spare;
   for (const std::string& name : wanted) {
-    if (add.empty() && !holds(name)) add = name;
+    if (add.empty() && !is_current(name)) add = name;
   }
-  for (const std::string& name : holders) {
+  for (const std::string& name : current) {
     const Candidate* c = Find(members, name);
     // One that is not known any more was forgotten long ago.
-    const bool gone = c == nullptr || (c->gone_since >= 0 && now - c->gone_since >= patience);
+    const bool gone = c == nullptr || (c->gone_since >= 0 && now - c->gone_since >= replacement_delay);
     if (gone) lost = name;
     if (!gone && name != owner && !is_wanted(name) && c->gone_since < 0) spare = name;
   }
-  const int held = static_cast<int>(holders.size());
-  if (!lost.empty() && held > copies) return Move{"", lost};
-  if (!lost.empty() && !add.empty()) return Move{add, lost};
-  if (held < copies && !add.empty()) return Move{add, ""};
-  if (held > copies && !spare.empty()) return Move{"", spare};
-  if (balance && held == copies && !add.empty() && !spare.empty()) return Move{add, spare};
+  const int count = static_cast<int>(current.size());
+  if (!lost.empty() && count > copies) return ReplicaChange{"", lost};
+  if (!lost.empty() && !add.empty()) return ReplicaChange{add, lost};
+  if (count < copies && !add.empty()) return ReplicaChange{add, ""};
+  if (count > copies && !spare.empty()) return ReplicaChange{"", spare};
+  if (rebalance && count == copies && !add.empty() && !spare.empty()) return ReplicaChange{add, spare};
   return std::nullopt;
 }
 
--- a/src/cluster/copies/placement.h
+++ b/src/cluster/copies/placement.h
@@ -20,18 +20,19 @@
 
 // The `copies` members, the owner first where it is among `members`, in falling order of preference. No two
 // in one zone while a zone without one is left. Members that are gone are not chosen.
-std::vector<std::string> Place(const std::string& owner, const std::vector<Candidate>& members, int copies);
+std::vector<std::string> ChooseReplicas(const std::string& owner, const std::vector<Candidate>& members,
+                                        int copies);
 
 // A change of one copy. `add` empty: too many are kept; `remove` empty: too few.
-struct Move {
+struct ReplicaChange {
   std::string add, remove;
 };
 // What should be changed next, where `holders` keep the copies now; nothing: all is well, or has to wait.
 // A member that is gone is replaced after `patience`, so that a restart moves nothing; a better place than
 // one that is there is taken only with `balance`, and never for the owner's own copy.
-std::optional<Move> NextMove(const std::string& owner, const std::vector<std::string>& holders,
-                             const std::vector<Candidate>& members, int copies, Micros now, Micros patience,
-                             bool balance);
+std::optional<ReplicaChange> NextChange(const std::string& owner, const std::vector<std::string>& current,
+                                        const std::vector<Candidate>& members, int copies, Micros now,
+                                        Micros replacement_delay, bool rebalance);
 
 }  // namespace heronway::cluster::copies
 
--- a/src/cluster/copies/keepers.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -6,65 +6,66 @@
 
 namespace heronway::cluster::copies {
 
-void Copies::Look() {
-  look_.Start(kLooks);
-  const std::vector<Seen> members = members_ ? members_() : std::vector<Seen>{};
-  for (const Seen& m : members) {
-    if (!m.at.empty()) links_.Place(m.name, m.at);
+void ReplicaManager::CheckGroups() {
+  check_timer_.Start(kCheckInterval);
+  const std::vector<KnownMember> members = member_source_ ? member_source_() : std::vector<KnownMember>{};
+  for (const KnownMember& m : members) {
+    if (!m.address.empty()) links_.SetAddress(m.name, m.address);
   }
-  for (auto& [name, g] : groups_) LookAt(*g, members);
-  AskForCopies();
+  for (auto& [name, g] : groups_) CheckGroup(*g, members);
+  QueryFormerReplicas();
 }
 
-void Copies::LookAt(Group& g, const std::vector<Seen>& members) {
+void ReplicaManager::CheckGroup(Group& g, const std::vector<KnownMember>& members) {
   if (g.log->role() != log::Role::kLeader) return;
   const Micros now = shared_.loop.Now();
-  if (now - g.told >= 2 * kSecond) TellNames(g);
+  if (now - g.servers_sent_at >= 2 * kSecond) SendServers(g);
   const log::Members& servers = g.log->members();
-  if (g.mine && !g.held && !g.starts) TakeHold(g);
-  if (!g.mine) {
+  if (g.own && !g.channel && !g.opening) ClaimGroup(g);
+  if (!g.own) {
     // Its owner is to lead it: nobody else runs its jobs while that is there.
     for (const auto& lag : g.log->Followers()) {
       const auto who = g.servers.find(lag.server);
       const bool owner = who != g.servers.end() && who->second.first == OwnerOf(g.name);
       if (!owner || now - lag.heard > kSecond) continue;
-      if (!GaveBack(g) || now - g.handed < 2 * kSecond) return;
-      g.handed = now;
-      return Post(g, log::Transfer{lag.server});
+      if (!ReleaseGroup(g) || now - g.transfer_sent_at < 2 * kSecond) return;
+      g.transfer_sent_at = now;
+      return HandleEvent(g, log::Transfer{lag.server});
     }
-    if (g.held && g.giving_back) return Lost(g);  // its owner has gone again meanwhile
+    if (g.channel && g.releasing) return StopServing(g);  // its owner has gone again meanwhile
     const auto owner = std::find_if(members.begin(), members.end(),
-                                    [&g](const Seen& m) { return m.name == OwnerOf(g.name); });
+                                    [&g](const KnownMember& m) { return m.name == OwnerOf(g.name); });
     // One that nobody has heard of is gone for longer than the fleet remembers.
-    Micros gone = owner != members.end() ? owner->gone_since : began_ + kRemembers;
+    Micros gone = owner != members.end() ? owner->gone_since : started_at_ + kDiscoveryTime;
     // One that is there, and has lost its disk, will not lead it again.
-    if (gone < 0) gone = g.former_since;
-    if (settings_.takeover > 0 && !g.held && !members.empty() && gone >= 0 &&
-        now - gone >= settings_.takeover)
-      TakeHold(g);
+    if (gone < 0) gone = g.abandoned_since;
+    if (settings_.takeover_delay > 0 && !g.channel && !members.empty() && gone >= 0 &&
+        now - gone >= settings_.takeover_delay)
+      ClaimGroup(g);
   }
-  if (g.held && !g.reading && !compacting_ &&
-      g.grown > std::max(kCompacts, g.log->snapshot() == nullptr ? 0 : g.log->snapshot()->data.size()))
+  if (g.channel && !g.loading && !compacting_ &&
+      g.bytes_since_snapshot >
+          std::max(kMinCompactBytes, g.log->snapshot() == nullptr ? 0 : g.log->snapshot()->data.size()))
     Compact(g);
-  if (!g.mine) return;
+  if (!g.own) return;
   const auto change = [&](log::Change what, log::ServerId id) {
-    Post(g, log::ChangeMembers{++tickets_, what, id});
-    TellNames(g);
+    HandleEvent(g, log::ChangeMembers{++last_ticket_, what, id});
+    SendServers(g);
   };
   for (const auto& lag : g.log->Followers()) {
     const bool learns = std::binary_search(servers.learners.begin(), servers.learners.end(), lag.server);
     if (learns && lag.match >= g.log->committed()) return change(log::Change::kPromote, lag.server);
   }
-  for (const log::ServerId id : g.here) {
+  for (const log::ServerId id : g.accepted) {
     const bool in = std::binary_search(servers.voters.begin(), servers.voters.end(), id) ||
                     std::binary_search(servers.learners.begin(), servers.learners.end(), id);
     if (in) continue;
     // Added once; one that is taken out later has to be asked again.
-    g.here.erase(id);
+    g.accepted.erase(id);
     return change(log::Change::kAddLearner, id);
   }
   if (members.empty()) return;
-  std::vector<std::string> holders;
+  std::vector<std::string> replicas;
   std::map<std::string, log::ServerId> by_name;
   for (const auto* ids : {&servers.voters, &servers.learners}) {
     for (const log::ServerId id : *ids) {
@@ -72,20 +73,21 @@
       const std::string member = who == g.servers.end() ? "?" + std::to_string(id) : who->second.first;
       // A member with an older disk's server beside its new one: the older counts for nothing any more.
       if (by_name.contains(member)) return change(log::Change::kRemove, std::min(id, by_name[member]));
-      holders.push_back(member);
+      replicas.push_back(member);
       by_name[member] = id;
     }
   }
   std::vector<Candidate> candidates;
-  for (const Seen& m : members) {
-    if (!m.at.empty() || m.gone_since >= 0) candidates.push_back(m);
+  for (const KnownMember& m : members) {
+    if (!m.address.empty() || m.gone_since >= 0) candidates.push_back(m);
   }
-  const auto move = NextMove(settings_.name, holders, candidates, settings_.copies, now, kPatience, false);
+  const auto move =
+      NextChange(settings_.name, replicas, candidates, settings_.replicas, now, kPatience, false);
   if (!move) return;
-  if (!move->remove.empty() && (move->add.empty() || static_cast<int>(holders.size()) > settings_.copies))
+  if (!move->remove.empty() && (move->add.empty() || static_cast<int>(replicas.size()) > settings_.replicas))
     return change(log::Change::kRemove, by_name[move->remove]);
-  if (move->add.empty() || now - g.asked < kSecond) return;
-  g.asked = now;
+  if (move->add.empty() || now - g.invite_sent_at < kSecond) return;
+  g.invite_sent_at = now;
   g.invited = move->add;
   Frame invite;
   invite.kind = Frame::Kind::kInvite;
@@ -93,10 +95,10 @@
   links_.Send(move->add, invite);
 }
 
-void Copies::TellNames(Group& g) {
-  g.told = shared_.loop.Now();
+void ReplicaManager::SendServers(Group& g) {
+  g.servers_sent_at = shared_.loop.Now();
   Frame names;
-  names.kind = Frame::Kind::kNames;
+  names.kind = Frame::Kind::kServers;
   names.group = g.name;
   std::set<std::string> to;
   for (const auto* ids : {&g.log->members().voters, &g.log->members().learners}) {
@@ -111,20 +113,20 @@
 }
 
 // By a thread of its own, from a moment's view of the store: neither the loop nor the writer waits for it.
-void Copies::Compact(Group& g) {
+void ReplicaManager::Compact(Group& g) {
   compacting_ = true;
-  g.grown = 0;
+  g.bytes_since_snapshot = 0;
   compactor_ = std::thread([this, name = g.name, settings = g.store] {
     try {
       durable::SqliteStore store(settings, durable::SqliteStore::Use::kLook);
-      const Dump dump = DumpOf(store);
-      const std::lock_guard hold(compact_lock_);
-      ready_.emplace_back(name, log::Compact{dump.applied.index, Encode(dump)});
+      const StoreContents contents = ReadContents(store);
+      const std::lock_guard hold(results_lock_);
+      compacted_snapshots_.emplace_back(name, log::Compact{contents.applied.index, Encode(contents)});
     } catch (const durable::StoreError&) {
       // The log grows on, and it is tried again when it has grown as much again.
       compact_failed_.store(true);
     }
-    compacted_.Ask();
+    work_done_wakeup_.Ask();
   });
 }
 
--- a/src/cluster/copies/disk.cpp
+++ b/src/cluster/copies/replica_store.cpp
@@ -1,4 +1,4 @@
-#include "src/cluster/copies/disk.h"
+#include "src/cluster/copies/replica_store.h"
 
 #include <SQLiteCpp/SQLiteCpp.h>
 #include <fcntl.h>
@@ -18,16 +18,16 @@
 
 using durable::StoreError;
 using Clock = std::chrono::steady_clock;
-constexpr int kVersion = 1;
-constexpr std::chrono::milliseconds kTryAgain{200};
+constexpr int kSchemaVersion = 1;
+constexpr std::chrono::milliseconds kRetryDelay{200};
 
-std::int64_t SumOf(std::string_view body) {
+std::int64_t Checksum(std::string_view body) {
   return static_cast<std::int64_t>(XXH3_64bits(body.data(), body.size()));
 }
 
 }  // namespace
 
-struct Disk::Impl {
+struct ReplicaStore::Impl {
   std::string file;
   std::unique_ptr<SQLite::Database> db;
   int lock = -1;
@@ -46,36 +46,36 @@
     if constexpr (sizeof...(more) > 0) Bind(s, at + 1, more...);
   }
   template <typename... Values>
-  void Do(const char* sql, const Values&... values) {
+  void Execute(const char* sql, const Values&... values) {
     SQLite::Statement s(*db, sql);
     Bind(s, 1, values...);
     s.exec();
   }
-  void Put(const GroupOnDisk& g);
+  void Put(const StoredGroup& g);
   void Put(const std::string& group, const log::Persist& p);
   void Put(const std::string& group, const Servers& servers);
   void PutEntry(const std::string& group, log::Index index, const log::Entry& entry);
   void PutSnapshot(const std::string& group, const log::Snapshot& snapshot);
 };
 
-Disk::Disk(const std::string& folder, std::function<void()> changed, bool look)
-    : impl_(std::make_unique<Impl>()), changed_(std::move(changed)) {
-  impl_->file = FileOf(folder);
-  if (!look) {
+ReplicaStore::ReplicaStore(const std::string& folder, std::function<void()> changed, bool read_only)
+    : impl_(std::make_unique<Impl>()), on_change_(std::move(changed)) {
+  impl_->file = FilePath(folder);
+  if (!read_only) {
     impl_->lock = open((impl_->file + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
     if (impl_->lock < 0) throw StoreError(StoreError::Kind::kDenied, impl_->file + ".lock: cannot be made");
     if (flock(impl_->lock, LOCK_EX | LOCK_NB) != 0)
       throw StoreError(StoreError::Kind::kBusy, impl_->file + ": another program serves from it");
   }
   try {
-    const int flags = look ? SQLite::OPEN_READWRITE : SQLite::OPEN_READWRITE | SQLite::OPEN_CREATE;
+    const int flags = read_only ? SQLite::OPEN_READWRITE : SQLite::OPEN_READWRITE | SQLite::OPEN_CREATE;
     impl_->db = std::make_unique<SQLite::Database>(impl_->file, flags, 5'000);
     SQLite::Database& db = *impl_->db;
     db.exec("PRAGMA journal_mode=WAL");
     db.exec("PRAGMA synchronous=FULL");
     const int version = db.execAndGet("PRAGMA user_version").getInt();
-    if (version == 0 && !look) {
-      SQLite::Transaction whole(db);
+    if (version == 0 && !read_only) {
+      SQLite::Transaction transaction(db);
       db.exec(
           "CREATE TABLE groups(name TEXT PRIMARY KEY, self INTEGER, term INTEGER, vote INTEGER, "
           "sum INTEGER, snapshot BLOB) WITHOUT ROWID");
@@ -85,40 +85,40 @@
       db.exec(
           "CREATE TABLE servers(grp TEXT, id INTEGER, member TEXT, at TEXT, PRIMARY KEY(grp, id)) "
           "WITHOUT ROWID");
-      db.exec("PRAGMA user_version=" + std::to_string(kVersion));
-      whole.commit();
-    } else if (version != kVersion) {
+      db.exec("PRAGMA user_version=" + std::to_string(kSchemaVersion));
+      transaction.commit();
+    } else if (version != kSchemaVersion) {
       throw StoreError(StoreError::Kind::kCorrupt, impl_->file + ": it has version " +
                                                        std::to_string(version) + ", this program " +
-                                                       std::to_string(kVersion));
+                                                       std::to_string(kSchemaVersion));
     }
   } catch (const SQLite::Exception& e) {
     throw StoreError(StoreError::Kind::kOther, impl_->file + ": opening: " + e.what());
   }
-  if (!look) thread_ = std::thread([this] { Run(); });
+  if (!read_only) thread_ = std::thread([this] { Run(); });
 }
 
-Disk::~Disk() {
+ReplicaStore::~ReplicaStore() {
   {
     const std::lock_guard hold(lock_);
-    ending_ = true;
-    give_up_ = Clock::now() + std::chrono::seconds(2);
+    stopping_ = true;
+    stop_deadline_ = Clock::now() + std::chrono::seconds(2);
   }
   wake_.notify_one();
   if (thread_.joinable()) thread_.join();
 }
 
-std::vector<GroupOnDisk> Disk::Read() {
-  std::vector<GroupOnDisk> all;
-  const auto corrupt = [this](const std::string& place, const char* what) {
-    return StoreError(StoreError::Kind::kCorrupt, impl_->file + ": " + place + ": " + what);
+std::vector<StoredGroup> ReplicaStore::Read() {
+  std::vector<StoredGroup> all;
+  const auto corrupt = [this](const std::string& place, const char* change) {
+    return StoreError(StoreError::Kind::kCorrupt, impl_->file + ": " + place + ": " + change);
   };
   try {
-    SQLite::Transaction one_moment(*impl_->db);
+    SQLite::Transaction read_transaction(*impl_->db);
     SQLite::Statement groups(*impl_->db,
                              "SELECT name, self, term, vote, sum, snapshot FROM groups ORDER BY name");
     while (groups.executeStep()) {
-      GroupOnDisk g;
+      StoredGroup g;
       g.group = groups.getColumn(0).getString();
       g.self = static_cast<log::ServerId>(groups.getColumn(1).getInt64());
       g.log.vote = {static_cast<log::Term>(groups.getColumn(2).getInt64()),
@@ -126,7 +126,7 @@
       if (!groups.getColumn(5).isNull()) {
         const std::string body = groups.getColumn(5).getString();
         auto snapshot =
-            SumOf(body) == groups.getColumn(4).getInt64() ? log::DecodeSnapshot(body) : std::nullopt;
+            Checksum(body) == groups.getColumn(4).getInt64() ? log::DecodeSnapshot(body) : std::nullopt;
         if (!snapshot) throw corrupt("group " + g.group, "its snapshot cannot be read");
         g.log.snapshot = std::make_shared<log::Snapshot>(std::move(*snapshot));
       }
@@ -141,7 +141,8 @@
             "group " + g.group + ": entry " + std::to_string(entries.getColumn(0).getInt64());
         if (entries.getColumn(0).getInt64() != static_cast<std::int64_t>(next))
           throw corrupt(place, "one is missing before it");
-        auto entry = SumOf(body) == entries.getColumn(1).getInt64() ? log::DecodeEntry(body) : std::nullopt;
+        auto entry =
+            Checksum(body) == entries.getColumn(1).getInt64() ? log::DecodeEntry(body) : std::nullopt;
         if (!entry) throw corrupt(place, "it cannot be read");
         g.log.entries.push_back(std::make_shared<log::Entry>(std::move(*entry)));
       }
@@ -158,37 +159,37 @@
   return all;
 }
 
-void Disk::Hand(const std::string& group, What what) {
+void ReplicaStore::Enqueue(const std::string& group, Change change) {
   {
     const std::lock_guard hold(lock_);
-    waiting_.push_back({group, std::move(what)});
+    pending_.push_back({group, std::move(change)});
   }
   wake_.notify_one();
 }
 
-std::vector<Disk::Done> Disk::TakeDone() {
+std::vector<ReplicaStore::Completion> ReplicaStore::TakeCompletions() {
   const std::lock_guard hold(lock_);
-  return std::exchange(done_, {});
+  return std::exchange(completions_, {});
 }
 
-std::string Disk::fault() const {
+std::string ReplicaStore::fault() const {
   const std::lock_guard hold(lock_);
   return fault_;
 }
 
-std::uint64_t Disk::commits() const {
+std::uint64_t ReplicaStore::commits() const {
   const std::lock_guard hold(lock_);
   return commits_;
 }
 
 // In order, and nothing is passed over: a commit that fails is tried again until it goes through.
-void Disk::Run() {
-  std::vector<Op> ops;
+void ReplicaStore::Run() {
+  std::vector<PendingWrite> ops;
   for (;;) {
     if (ops.empty()) {
       std::unique_lock hold(lock_);
-      wake_.wait(hold, [this] { return !waiting_.empty() || ending_; });
-      ops.swap(waiting_);
+      wake_.wait(hold, [this] { return !pending_.empty() || stopping_; });
+      ops.swap(pending_);
       if (ops.empty()) return;
     }
     std::string fault;
@@ -202,76 +203,79 @@
     fault_ = fault;
     if (fault.empty()) {
       ++commits_;
-      for (const Op& op : ops) {
-        const auto* p = std::get_if<log::Persist>(&op.what);
-        if (p != nullptr || std::holds_alternative<GroupOnDisk>(op.what))
-          done_.push_back({op.group, p != nullptr ? p->number : 0});
+      for (const PendingWrite& op : ops) {
+        const auto* p = std::get_if<log::Persist>(&op.change);
+        if (p != nullptr || std::holds_alternative<StoredGroup>(op.change))
+          completions_.push_back({op.group, p != nullptr ? p->number : 0});
       }
       ops.clear();
     }
     hold.unlock();
-    if (fault.empty() || changed) changed_();
+    if (fault.empty() || changed) on_change_();
     if (fault.empty()) continue;
     hold.lock();
-    if (ending_ && Clock::now() > give_up_) return;
-    wake_.wait_for(hold, kTryAgain, [this] { return ending_ && Clock::now() > give_up_; });
+    if (stopping_ && Clock::now() > stop_deadline_) return;
+    wake_.wait_for(hold, kRetryDelay, [this] { return stopping_ && Clock::now() > stop_deadline_; });
   }
 }
 
-void Disk::Write(const std::vector<Op>& ops) {
-  SQLite::Transaction whole(*impl_->db);
-  for (const Op& op : ops) {
-    if (const auto* made = std::get_if<GroupOnDisk>(&op.what)) {
-      impl_->Put(*made);
-    } else if (const auto* p = std::get_if<log::Persist>(&op.what)) {
+void ReplicaStore::Write(const std::vector<PendingWrite>& ops) {
+  SQLite::Transaction transaction(*impl_->db);
+  for (const PendingWrite& op : ops) {
+    if (const auto* group = std::get_if<StoredGroup>(&op.change)) {
+      impl_->Put(*group);
+    } else if (const auto* p = std::get_if<log::Persist>(&op.change)) {
       impl_->Put(op.group, *p);
-    } else if (const auto* servers = std::get_if<Servers>(&op.what)) {
+    } else if (const auto* servers = std::get_if<Servers>(&op.change)) {
       impl_->Put(op.group, *servers);
     } else {
       for (const char* sql : {"DELETE FROM groups WHERE name=?", "DELETE FROM entries WHERE grp=?",
                               "DELETE FROM servers WHERE grp=?"})
-        impl_->Do(sql, op.group);
+        impl_->Execute(sql, op.group);
     }
   }
-  whole.commit();
+  transaction.commit();
 }
 
-void Disk::Impl::Put(const GroupOnDisk& g) {
-  Do("INSERT OR REPLACE INTO groups VALUES(?, ?, ?, ?, 0, NULL)", g.group, static_cast<std::int64_t>(g.self),
-     static_cast<std::int64_t>(g.log.vote.term), static_cast<std::int64_t>(g.log.vote.of));
+void ReplicaStore::Impl::Put(const StoredGroup& g) {
+  Execute("INSERT OR REPLACE INTO groups VALUES(?, ?, ?, ?, 0, NULL)", g.group,
+          static_cast<std::int64_t>(g.self), static_cast<std::int64_t>(g.log.vote.term),
+          static_cast<std::int64_t>(g.log.vote.of));
   if (g.log.snapshot != nullptr) PutSnapshot(g.group, *g.log.snapshot);
   Put(g.group, g.servers);
 }
 
-void Disk::Impl::Put(const std::string& group, const log::Persist& p) {
+void ReplicaStore::Impl::Put(const std::string& group, const log::Persist& p) {
   if (p.vote)
-    Do("UPDATE groups SET term=?, vote=? WHERE name=?", static_cast<std::int64_t>(p.vote->term),
-       static_cast<std::int64_t>(p.vote->of), group);
+    Execute("UPDATE groups SET term=?, vote=? WHERE name=?", static_cast<std::int64_t>(p.vote->term),
+            static_cast<std::int64_t>(p.vote->of), group);
   if (p.snapshot != nullptr) {
     PutSnapshot(group, *p.snapshot);
-    Do("DELETE FROM entries WHERE grp=? AND idx<=?", group, static_cast<std::int64_t>(p.snapshot->index));
+    Execute("DELETE FROM entries WHERE grp=? AND idx<=?", group,
+            static_cast<std::int64_t>(p.snapshot->index));
   }
   if (p.from == 0) return;
-  Do("DELETE FROM entries WHERE grp=? AND idx>=?", group, static_cast<std::int64_t>(p.from));
+  Execute("DELETE FROM entries WHERE grp=? AND idx>=?", group, static_cast<std::int64_t>(p.from));
   log::Index index = p.from;
   for (const log::EntryPtr& e : p.entries) PutEntry(group, index++, *e);
 }
 
-void Disk::Impl::PutEntry(const std::string& group, log::Index index, const log::Entry& entry) {
+void ReplicaStore::Impl::PutEntry(const std::string& group, log::Index index, const log::Entry& entry) {
   const std::string body = log::Encode(entry);
-  Do("INSERT INTO entries VALUES(?, ?, ?, ?)", group, static_cast<std::int64_t>(index), SumOf(body),
-     std::string_view(body));
+  Execute("INSERT INTO entries VALUES(?, ?, ?, ?)", group, static_cast<std::int64_t>(index), Checksum(body),
+          std::string_view(body));
 }
 
-void Disk::Impl::PutSnapshot(const std::string& group, const log::Snapshot& snapshot) {
+void ReplicaStore::Impl::PutSnapshot(const std::string& group, const log::Snapshot& snapshot) {
   const std::string body = log::Encode(snapshot);
-  Do("UPDATE groups SET sum=?, snapshot=? WHERE name=?", SumOf(body), std::string_view(body), group);
+  Execute("UPDATE groups SET sum=?, snapshot=? WHERE name=?", Checksum(body), std::string_view(body), group);
 }
 
-void Disk::Impl::Put(const std::string& group, const Servers& servers) {
-  Do("DELETE FROM servers WHERE grp=?", group);
+void ReplicaStore::Impl::Put(const std::string& group, const Servers& servers) {
+  Execute("DELETE FROM servers WHERE grp=?", group);
   for (const auto& [id, who] : servers)
-    Do("INSERT INTO servers VALUES(?, ?, ?, ?)", group, static_cast<std::int64_t>(id), who.first, who.second);
+    Execute("INSERT INTO servers VALUES(?, ?, ?, ?)", group, static_cast<std::int64_t>(id), who.first,
+            who.second);
 }
 
 }  // namespace heronway::cluster::copies
--- /dev/null
+++ b/src/cluster/copies/replicated_store.cpp
@@ -0,0 +1,127 @@
+#include "src/cluster/copies/replicated_store.h"
+
+#include <utility>
+
+#include "src/durable/codec.h"
+
+namespace heronway::cluster::copies {
+
+using durable::StoreError;
+
+void LogChannel::Propose(std::vector<std::string> data) {
+  {
+    const std::lock_guard hold(lock_);
+    rejection_.clear();
+    for (std::string& d : data) proposals_.push_back(std::move(d));
+  }
+  proposals_wakeup_();
+}
+
+std::optional<LogChannel::Committed> LogChannel::WaitCommitted(std::chrono::milliseconds timeout,
+                                                               std::string& reason) {
+  std::unique_lock hold(lock_);
+  changed_.wait_for(hold, timeout, [this] { return !committed_.empty() || !rejection_.empty() || closed_; });
+  if (!committed_.empty()) {
+    Committed next = std::move(committed_.front());
+    committed_.pop_front();
+    return next;
+  }
+  reason = closed_              ? "the program ends"
+           : rejection_.empty() ? "no majority of the copies has it in time"
+                                : rejection_;
+  return std::nullopt;
+}
+
+std::vector<std::string> LogChannel::TakeProposals() {
+  const std::lock_guard hold(lock_);
+  return std::exchange(proposals_, {});
+}
+
+void LogChannel::Deliver(log::Index index, std::string data) {
+  {
+    const std::lock_guard hold(lock_);
+    committed_.push_back({index, std::move(data)});
+  }
+  changed_.notify_one();
+}
+
+void LogChannel::Reject(const std::string& reason) {
+  {
+    const std::lock_guard hold(lock_);
+    rejection_ = reason;
+  }
+  changed_.notify_one();
+}
+
+void LogChannel::Close() {
+  {
+    const std::lock_guard hold(lock_);
+    closed_ = true;
+  }
+  changed_.notify_one();
+}
+
+ReplicatedStore::ReplicatedStore(std::unique_ptr<durable::SqliteStore> store,
+                                 std::shared_ptr<LogChannel> channel, std::uint64_t life)
+    : store_(std::move(store)), channel_(std::move(channel)), boot_time_(life), applied_(store_->applied()) {}
+
+bool ReplicatedStore::Apply(durable::SqliteStore& store, durable::Applied& applied,
+                            const LogChannel::Committed& entry) {
+  if (entry.index <= applied.index) return false;
+  const auto batch = DecodeBatch(entry.data);
+  const auto records = batch ? durable::DecodeRecords(batch->records) : std::nullopt;
+  if (!records)
+    throw StoreError(StoreError::Kind::kCorrupt,
+                     "copies: entry " + std::to_string(entry.index) + " of the log cannot be read");
+  // Proposed twice, as its proposer did not know that it was committed, or by one that holds the group no
+  // more.
+  if (!IsEffective(*batch, applied)) return false;
+  const durable::Applied next{entry.index, batch->epoch, batch->number};
+  store.AppendAt(*records, next);
+  applied = next;
+  return true;
+}
+
+// Called again with the same records until it returns: what was cut into parts stays so, and what is
+// committed stays committed.
+void ReplicatedStore::Append(const std::vector<durable::Record>& records) {
+  if (superseded_) throw StoreError(StoreError::Kind::kOther, "copies: another has taken hold of them");
+  if (pending_parts_.empty() && !committed_entry_) {
+    std::vector<durable::Record> part;
+    std::size_t bytes = 0;
+    const auto finish_part = [&] {
+      const Batch b{boot_time_, ++last_number_, durable::Encode(part)};
+      pending_parts_.emplace_back(b.number, Encode(b));
+      part.clear();
+      bytes = 0;
+    };
+    for (const durable::Record& r : records) {
+      if (!part.empty() && bytes + r.text.size() > kMaxPartBytes) finish_part();
+      part.push_back(r);
+      bytes += r.text.size() + 100;
+    }
+    finish_part();
+  }
+  std::vector<std::string> proposals;
+  for (const auto& [number, data] : pending_parts_) proposals.push_back(data);
+  if (!proposals.empty()) channel_->Propose(std::move(proposals));
+  while (!pending_parts_.empty() || committed_entry_) {
+    if (!committed_entry_) {
+      std::string reason;
+      committed_entry_ = channel_->WaitCommitted(kCommitTimeout, reason);
+      if (!committed_entry_) throw StoreError(StoreError::Kind::kOther, "copies: " + reason);
+    }
+    const auto batch = DecodeBatch(committed_entry_->data);
+    // From here on the log is another's: this store is left where it stands, to be caught up when it is held
+    // again.
+    superseded_ = batch && batch->number == 0 && batch->epoch != boot_time_;
+    if (superseded_) throw StoreError(StoreError::Kind::kOther, "copies: another has taken hold of them");
+    Apply(*store_, applied_, *committed_entry_);
+    committed_entry_.reset();
+    while (batch && batch->epoch == boot_time_ && !pending_parts_.empty() &&
+           pending_parts_.front().first <= batch->number)
+      pending_parts_.pop_front();
+  }
+}
+
+}  // namespace heronway::cluster::copies
--- a/src/cluster/copies/any_door.cpp
+++ b/src/cluster/copies/report_forwarding.cpp
@@ -6,52 +6,54 @@
 
 namespace heronway::cluster::copies {
 
-void Copies::Lead(const std::string& front, const core::HopNews& news, Doors::Told told) {
+void ReplicaManager::ForwardReport(const std::string& front, const core::HopNews& news,
+                                   ReportForwarder::Done told) {
   std::vector<std::string> others;
   // Guards against word that is thrown away while whoever holds its job is out of sight, and may be back.
   bool lately_gone = false;
-  for (const Seen& m : members_ ? members_() : std::vector<Seen>{}) {
-    lately_gone |= m.gone_since >= 0 && shared_.loop.Now() - m.gone_since < kRemembers;
-    if (m.name != settings_.name && !m.at.empty() && m.gone_since < 0 && others.size() < Links::kMostOut)
+  for (const KnownMember& m : member_source_ ? member_source_() : std::vector<KnownMember>{}) {
+    lately_gone |= m.gone_since >= 0 && shared_.loop.Now() - m.gone_since < kDiscoveryTime;
+    if (m.name != settings_.name && !m.address.empty() && m.gone_since < 0 &&
+        others.size() < Links::kMaxOutbound)
       others.push_back(m.name);
   }
-  if (news.result.size() > Doors::kMostResult) return told(Heard::kNobody);
+  if (news.result.size() > ReportForwarder::kMaxResultBytes) return told(ForwardOutcome::kUnknownJob);
   Frame f;
-  f.kind = Frame::Kind::kWord;
+  f.kind = Frame::Kind::kRequest;
   f.group = front;
-  f.message = EncodeWord(news);
-  f.server = doors_.Ask(others, [told = std::move(told), lately_gone](Heard heard) {
-    told(heard == Heard::kNobody && lately_gone ? Heard::kNotNow : heard);
+  f.message = EncodeReport(news);
+  f.server = report_forwarder_.Start(others, [told = std::move(told), lately_gone](ForwardOutcome outcome) {
+    told(outcome == ForwardOutcome::kUnknownJob && lately_gone ? ForwardOutcome::kRetry : outcome);
   });
   if (f.server == 0) return;
-  ++led_words_;
+  ++reports_forwarded_;
   for (const std::string& to : others) links_.Send(to, f);
 }
 
 // Answered from here alone: what is not held here is led nowhere else.
-void Copies::GotWord(const std::string& from, const Frame& f) {
-  auto news = DecodeWord(f.message);
+void ReplicaManager::OnReport(const std::string& from, const Frame& f) {
+  auto news = DecodeReport(f.message);
   if (!news) {
-    ++links_.malformed;
+    ++links_.frames_malformed;
     return;
   }
   const auto answer = [this, from, number = f.server](const char* what) {
-    Frame heard;
-    heard.kind = Frame::Kind::kHeard;
-    heard.server = number;
-    heard.at = what;
-    links_.Send(from, heard);
+    Frame outcome;
+    outcome.kind = Frame::Kind::kReply;
+    outcome.server = number;
+    outcome.detail = what;
+    links_.Send(from, outcome);
   };
   const auto told = [this, answer](bool stored) {
-    taken_words_ += stored ? 1 : 0;
+    reports_stored_ += stored ? 1 : 0;
     answer(stored ? "taken" : "again");
   };
-  if (host_.word && host_.word(f.group, std::move(*news), told)) return;
+  if (front_hooks_.report && front_hooks_.report(f.group, std::move(*news), told)) return;
   // A group that nobody leads now, or that is led here and not held yet, may have it.
   const bool limbo = std::any_of(groups_.begin(), groups_.end(), [&f](const auto& p) {
     const Group& g = *p.second;
     const bool led = g.log->role() == log::Role::kLeader;
-    return FrontOf(p.first) == f.group && (g.log->leader() == 0 || (led && (!g.held || g.reading)));
+    return FrontOf(p.first) == f.group && (g.log->leader() == 0 || (led && (!g.channel || g.loading)));
   });
   answer(limbo ? "again" : "nobody");
 }
--- a/src/cluster/copies/report.cpp
+++ b/src/cluster/copies/status.cpp
@@ -7,10 +7,10 @@
 
 namespace heronway::cluster::copies {
 
-std::string Copies::Body() const {
+std::string ReplicaManager::StatusJson() const {
   Json::Value out;
   out["name"] = settings_.name;
-  out["copies"] = settings_.copies;
+  out["copies"] = settings_.replicas;
   out["fault"] = fault_;
   out["groups"] = Json::arrayValue;
   const Micros now = shared_.loop.Now();
@@ -27,7 +27,7 @@
     v["committed"] = Json::UInt64(l.committed());
     v["last"] = Json::UInt64(l.last());
     v["on_disk"] = Json::UInt64(l.durable());
-    v["held"] = g->held != nullptr && !g->reading;
+    v["held"] = g->channel != nullptr && !g->loading;
     v["snapshot"] = Json::UInt64(l.snapshot() == nullptr ? 0 : l.snapshot()->index);
     v["servers"] = Json::arrayValue;
     std::map<log::ServerId, log::Log::Lag> lags;
@@ -55,27 +55,20 @@
   return Json::writeString(builder, out) + "\n";
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> Copies::Figures() const {
-  std::uint64_t led = 0, waiting = 0, held = 0;
+std::vector<std::pair<std::string, std::uint64_t>> ReplicaManager::Counters() const {
+  std::uint64_t led = 0, uncommitted = 0, taken_over_groups = 0;
   for (const auto& [name, g] : groups_) {
-    held += g->held != nullptr && !g->mine && !g->reading ? 1 : 0;
+    taken_over_groups += g->channel != nullptr && !g->own && !g->loading ? 1 : 0;
     led += g->log->role() == log::Role::kLeader ? 1 : 0;
-    waiting += g->log->last() - g->log->committed();
+    uncommitted += g->log->last() - g->log->committed();
   }
-  return {{"copies.groups", groups_.size()},
-          {"copies.led", led},
-          {"copies.held", held},
-          {"copies.takeovers", taken_over_},
-          {"copies.words_led", led_words_},
-          {"copies.words_taken", taken_words_},
-          {"copies.looked_up", looked_up_},
-          {"copies.found_elsewhere", found_elsewhere_},
-          {"copies.uncommitted", waiting},
-          {"copies.commits", disk_.commits()},
-          {"copies.frames_lost", links_.lost},
-          {"copies.frames_malformed", links_.malformed},
-          {"copies.bytes_in", links_.bytes_in},
-          {"copies.bytes_out", links_.bytes_out}};
+  return {{"copies.groups", groups_.size()},          {"copies.led", led},
+          {"copies.held", taken_over_groups},         {"copies.takeovers", takeovers_},
+          {"copies.words_led", reports_forwarded_},   {"copies.words_taken", reports_stored_},
+          {"copies.looked_up", lookups_sent_},        {"copies.found_elsewhere", jobs_found_elsewhere_},
+          {"copies.uncommitted", uncommitted},        {"copies.commits", replica_store_.commits()},
+          {"copies.frames_lost", links_.frames_lost}, {"copies.frames_malformed", links_.frames_malformed},
+          {"copies.bytes_in", links_.bytes_in},       {"copies.bytes_out", links_.bytes_out}};
 }
 
 }  // namespace heronway::cluster::copies
--- /dev/null
+++ b/src/cluster/copies/takeover.cpp
@@ -0,0 +1,207 @@
+// Who holds a group: its owner, or whoever looks after it while the owner is gone; and a front's own store.
+#define XXH_INLINE_ALL
+#include <xxhash.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <utility>
+
+#include "src/cluster/copies/group.h"
+#include "src/durable/codec.h"
+#include "src/log/log.h"
+
+namespace heronway::cluster::copies {
+
+// Asked for through the log, so that all agree on what counts from where on.
+void ReplicaManager::ClaimGroup(Group& g) {
+  const Micros now = shared_.loop.Now();
+  if (g.channel || g.loading || g.outdated || (g.claim_pending && now - g.changed_at < 2 * kSecond)) return;
+  g.claim_pending = true;
+  g.changed_at = now;
+  g.epoch = kFencedEpoch | static_cast<std::uint64_t>(boot_time_ + static_cast<Micros>(++claims_));
+  Batch take{g.epoch, 0, {}};
+  durable::Record broke;
+  broke.kind = durable::Kind::kClock;
+  broke.at = net::Loop::WallClock();
+  // Guards a keyed job's window: times of before are by another's clock, if another held it.
+  const bool others = !g.own || !g.opening || g.last_epoch != g.stored_epoch;
+  take.records = durable::Encode(others ? std::vector{broke} : std::vector<durable::Record>{});
+  log::Propose p;
+  p.ticket = ++last_ticket_;
+  p.data = Encode(take);
+  HandleEvent(g, std::move(p));
+}
+
+// Whether this entry takes hold of the group. They are small: of others nothing is decoded here.
+bool ReplicaManager::ApplyIfClaim(Group& g, log::Index index, const std::string& data) {
+  constexpr std::size_t kMaxClaimBytes = 256;  // bytes
+  if (data.size() > kMaxClaimBytes) return false;
+  const auto batch = DecodeBatch(data);
+  if (!batch) return false;
+  if (batch->number != 0) {
+    if ((batch->epoch & kFencedEpoch) == 0) g.last_epoch = batch->epoch;
+    return false;
+  }
+  g.last_epoch = batch->epoch;
+  if (g.channel) StopServing(g);
+  if (!g.claim_pending || batch->epoch != g.epoch) return true;
+  g.claim_pending = false;
+  g.releasing = false;
+  g.channel = std::make_shared<LogChannel>([this] { proposals_wakeup_.Ask(); });
+  g.claim_index = index;
+  if (!g.opening) LoadJobs(g);
+  return true;
+}
+
+void ReplicaManager::StopServing(Group& g) {
+  if (g.channel) g.channel->Close();
+  g.channel.reset();
+  g.epoch = 0;
+  if (std::exchange(g.loading, false)) return;  // nobody has its jobs yet
+  heronway::log::Event(heronway::log::Level::kWarn, "copies",
+                       {{"group", g.name}, {"state", "held by another now"}});
+  if (front_hooks_.stop) front_hooks_.stop(g.name, FrontOf(g.name), g.own);
+}
+
+// Reads what the log says up to the hold, by a thread of its own; the front is given the jobs then.
+void ReplicaManager::LoadJobs(Group& g) {
+  g.loading = true;
+  if (!g.own) {
+    const auto like = std::find_if(groups_.begin(), groups_.end(), [&g](const auto& p) {
+      return p.second->own && FrontOf(p.first) == FrontOf(g.name);
+    });
+    if (like == groups_.end()) return StopServing(g);  // that front is off here
+    char name[40];
+    std::snprintf(name, sizeof name, "/held-%016llx.db",
+                  static_cast<unsigned long long>(XXH3_64bits(g.name.data(), g.name.size())));
+    g.store = like->second->store;
+    g.store.file = settings_.folder + name;
+  }
+  load_queue_.push_back({g.name, g.epoch, g.own, g.store, ReadLog(*g.log, 0, g.claim_index)});
+  LoadNext();
+}
+
+void ReplicaManager::LoadNext() {
+  if (load_queue_.empty() || loader_.joinable()) return;
+  loader_ = std::thread([this, task = std::move(load_queue_.front())] {
+    LoadResult out;
+    out.group = task.group;
+    out.epoch = task.epoch;
+    try {
+      if (!task.own) {
+        // What is left of an earlier time counts for nothing: the log has everything.
+        for (const char* end : {"", "-wal", "-shm"}) std::remove((task.store.file + end).c_str());
+      }
+      auto store = std::make_unique<durable::SqliteStore>(task.store, durable::SqliteStore::Use::kServe);
+      CatchUp(*store, task.section);
+      StoreContents contents = ReadContents(*store);
+      out.held.jobs = std::move(contents.jobs);
+      out.held.clock_broke = contents.clock_broke;
+      out.store = std::move(store);
+    } catch (const std::exception& e) {
+      out.fault = e.what();
+    }
+    const std::lock_guard hold(results_lock_);
+    loaded_.push_back(std::move(out));
+    work_done_wakeup_.Ask();
+  });
+  load_queue_.pop_front();
+}
+
+void ReplicaManager::FinishLoads() {
+  std::vector<LoadResult> results;
+  {
+    const std::lock_guard hold(results_lock_);
+    results.swap(loaded_);
+  }
+  if (results.empty()) return;
+  loader_.join();
+  for (LoadResult& r : results) {
+    Group* g = FindGroup(r.group);
+    if (g == nullptr || !g->loading || g->epoch != r.epoch) continue;  // it was lost meanwhile
+    if (r.store == nullptr) {
+      heronway::log::Event(heronway::log::Level::kError, "copies",
+                           {{"group", g->name}, {"fault", "cannot be held here: " + r.fault}});
+      StopServing(*g);
+      continue;
+    }
+    g->loading = false;
+    ++takeovers_;
+    heronway::log::Event(
+        heronway::log::Level::kWarn, "copies",
+        {{"group", g->name}, {"state", g->own ? "held again" : "taken over"}, {"jobs", r.held.jobs.size()}});
+    r.held.group = g->name;
+    r.held.front = FrontOf(g->name);
+    r.held.own = g->own;
+    r.held.store = std::make_unique<ReplicatedStore>(std::move(r.store), g->channel, g->epoch);
+    if (front_hooks_.serve) front_hooks_.serve(std::move(r.held));
+  }
+  LoadNext();
+}
+
+// What is in hand is finished first, for a while; then it is nobody's here.
+bool ReplicaManager::ReleaseGroup(Group& g) {
+  if (!g.channel) return true;
+  const Micros now = shared_.loop.Now();
+  if (!std::exchange(g.releasing, true)) g.changed_at = now;
+  const bool idle = !g.loading && front_hooks_.idle && front_hooks_.idle(g.name, FrontOf(g.name));
+  if (!idle && now - g.changed_at < kReleaseTimeout) return false;
+  StopServing(g);
+  return true;
+}
+
+// ---- a front's own store
+
+std::unique_ptr<durable::Store> ReplicaManager::OpenReplicatedStore(
+    const std::string& front, std::unique_ptr<durable::SqliteStore> store) {
+  Group* g = nullptr;
+  for (auto& [name, group] : groups_) {  // the newest: names end with the time at which they were made
+    if (OwnerOf(name) == settings_.name && FrontOf(name) == front) g = group.get();
+  }
+  const durable::Applied before = store->applied();
+  if (before.index == 0) g = nullptr;  // it was written without its log since, or comes from elsewhere
+  const bool data_lost = g == nullptr;
+  bool restored = false;
+  if (g == nullptr) {
+    // What the store holds already is the group's first snapshot.
+    const StoreContents contents = ReadContents(*store);
+    restored = !contents.jobs.empty();
+    StoredGroup made;
+    made.group = GroupName(settings_.name, front, boot_time_);
+    made.self = NewServerId();
+    auto first = std::make_shared<log::Snapshot>();
+    first->index = 1;
+    first->members.voters = {made.self};
+    first->data = Encode(contents);
+    made.log.snapshot = first;
+    store->Refill(contents.clock_broke, contents.jobs, {1, 0, 0});
+    g = &AddGroup(std::move(made), false);
+  }
+  g->own = g->opening = true;
+  // What an operator has restored is here: nobody else is to run it, or to be asked for it.
+  if (settings_.takeover_delay > 0 && !restored)
+    own_fronts_.insert_or_assign(front,
+                                 OwnFront{g->name, FormerReplicas(settings_.name, data_lost, started_at_)});
+  g->store = {store->file(), store->names(), store->classes(), 0};
+  g->stored_epoch = before.life;
+  if (g->last_epoch == 0 && g->log->snapshot() != nullptr) {
+    if (const auto contents = DecodeStoreContents(g->log->snapshot()->data))
+      g->last_epoch = contents->applied.life;
+  }
+  Micros last_warning_at = shared_.loop.Now();
+  while (!g->channel || g->log->role() != log::Role::kLeader) {
+    shared_.loop.RunTurn();
+    if (g->log->role() == log::Role::kLeader && g->log->committed() == g->log->last()) ClaimGroup(*g);
+    if (shared_.loop.Now() - last_warning_at < 5 * kSecond) continue;
+    last_warning_at = shared_.loop.Now();
+    heronway::log::Event(heronway::log::Level::kWarn, "copies",
+                         {{"group", g->name}, {"state", "waits for a majority of its copies"}});
+  }
+  g->opening = false;
+  const durable::Applied applied = CatchUp(*store, ReadLog(*g->log, before.index, g->claim_index));
+  heronway::log::Event(heronway::log::Level::kInfo, "copies",
+                       {{"group", g->name}, {"state", "led"}, {"applied", applied.index}});
+  return std::make_unique<ReplicatedStore>(std::move(store), g->channel, g->epoch);
+}
+
+}  // namespace heronway::cluster::copies
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -71,12 +71,12 @@
   const std::string jid = submitted.id;
   look_up_job_(jid, kLookUpTime,
                [this, at = c.weak_from_this(),
-                submitted = std::move(submitted)](const cluster::copies::Verdict& verdict) {
-                 using cluster::copies::Found;
+                submitted = std::move(submitted)](const cluster::copies::LookupResult& result) {
+                 using cluster::copies::LookupStatus;
                  const auto c = at.lock();
                  if (c == nullptr || !c->stream.open() || !std::exchange(c->storing, false)) return;
-                 if (verdict.found == Found::kUnknown) return TakeDurable(*c, submitted);
-                 if (verdict.found == Found::kNotNow) return c->Send(Error(kMayBeElsewhere));
+                 if (result.status == LookupStatus::kUnknown) return TakeDurable(*c, submitted);
+                 if (result.status == LookupStatus::kRetry) return c->Send(Error(kMayBeElsewhere));
                  ++joined_;
                  c->Send(Simple("OK"));
                });
@@ -94,11 +94,11 @@
   if (lead_word_ && reducer().keeper()->book().Find(news.id) == nullptr) {
     c.storing = true;
     c.timer.Stop();
-    return lead_word_(news, [this, at = c.weak_from_this()](cluster::copies::Heard heard) {
+    return lead_word_(news, [this, at = c.weak_from_this()](cluster::copies::ForwardOutcome outcome) {
       const auto c = at.lock();
       if (c == nullptr || !c->stream.open() || !std::exchange(c->storing, false)) return;
-      late_acks_ += heard == cluster::copies::Heard::kNobody ? 1 : 0;
-      c->Send(heard == cluster::copies::Heard::kNotNow ? Error(kNotNow) : Simple("OK"));
+      late_acks_ += outcome == cluster::copies::ForwardOutcome::kUnknownJob ? 1 : 0;
+      c->Send(outcome == cluster::copies::ForwardOutcome::kRetry ? Error(kNotNow) : Simple("OK"));
     });
   }
   const auto late = reducer().counters().late_news;
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -15,8 +15,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "src/cluster/copies/doors.h"
-#include "src/cluster/copies/lookup.h"
+#include "src/cluster/copies/job_lookup.h"
+#include "src/cluster/copies/report_forwarder.h"
 #include "src/config/config.h"
 #include "src/config/options.h"
 #include "src/fronts/faktory/protocol.h"
@@ -35,11 +35,11 @@
   bool Answering() const;  // a reply has not left whole
   void FleetSeen(const core::FleetSeen& seen) { driver_.Post(core::FleetSeen(seen)); }
   // Where word of a job that is not held here goes, where copies are kept.
-  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::Doors::Told)>;
+  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::ReportForwarder::Done)>;
   void LeadWords(LeadWord lead) { lead_word_ = std::move(lead); }
   // Asks the other schedulers for a job that is not known here; told once, within `patience` microseconds.
   using LookUpJob = std::function<void(const std::string& jid, Micros patience,
-                                       std::function<void(cluster::copies::Verdict)> told)>;
+                                       std::function<void(cluster::copies::LookupResult)> told)>;
   void LookUpJobs(LookUpJob look_up) { look_up_job_ = std::move(look_up); }
   std::size_t unused_connections() const {
     const auto most = static_cast<std::size_t>(faktory_.most_connections);
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -61,13 +61,13 @@
   const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - shared_.loop.Now();
   look_up_job_(alias, std::clamp<Micros>(left, 1, kLookUpTime),
                [this, at = in.weak_from_this(), ticket = in.ticket, message = std::move(message),
-                arrived = std::move(arrived), alias](const cluster::copies::Verdict& verdict) {
+                arrived = std::move(arrived), alias](const cluster::copies::LookupResult& result) {
                  --looking_up_;
                  const auto client = at.lock();
                  if (client == nullptr || client->left || client->ticket != ticket) return;
                  client->ticket = 0;
-                 if (verdict.found != cluster::copies::Found::kUnknown)
-                   return AnswerFromElsewhere(*client, verdict);
+                 if (result.status != cluster::copies::LookupStatus::kUnknown)
+                   return AnswerFromElsewhere(*client, result);
                  // It may have come meanwhile, from another client or another scheduler.
                  if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
                    return Join(*client, message, std::string(*job), arrived.request.job_class);
@@ -76,14 +76,14 @@
                });
 }
 
-void Front::AnswerFromElsewhere(Ingress& in, const cluster::copies::Verdict& verdict) {
-  using cluster::copies::Found;
+void Front::AnswerFromElsewhere(Ingress& in, const cluster::copies::LookupResult& result) {
+  using cluster::copies::LookupStatus;
   ++joins_;
-  if (verdict.found == Found::kDone) return in.Answer(200, {}, verdict.result);
-  if (verdict.found == Found::kFailed) return in.Answer(502, {}, "failed\n");
+  if (result.status == LookupStatus::kDone) return in.Answer(200, {}, result.result);
+  if (result.status == LookupStatus::kFailed) return in.Answer(502, {}, "failed\n");
   in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}},
-            verdict.found == Found::kOpen ? "it is under way; come again by the same key\n"
-                                          : "another may have this job; come again by the same key\n");
+            result.status == LookupStatus::kOpen ? "it is under way; come again by the same key\n"
+                                                 : "another may have this job; come again by the same key\n");
 }
 
 void Front::Join(Ingress& in, const Message& message, const std::string& id, int job_class) {
@@ -180,10 +180,10 @@
 // One that nobody has is over and forgotten: its worker is told so as ever.
 void Front::LeadNews(Ingress& in, const core::HopNews& news) {
   if (!MayWait(in)) return;
-  lead_word_(news, [at = in.weak_from_this(), ticket = in.ticket](cluster::copies::Heard heard) {
+  lead_word_(news, [at = in.weak_from_this(), ticket = in.ticket](cluster::copies::ForwardOutcome outcome) {
     const auto client = at.lock();
     if (client == nullptr || client->left || client->ticket != ticket) return;
-    if (heard != cluster::copies::Heard::kNotNow) return client->Answer(200, {}, {});
+    if (outcome != cluster::copies::ForwardOutcome::kRetry) return client->Answer(200, {}, {});
     client->Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "nobody holds it now; say it again\n");
   });
 }
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "src/cluster/copies/doors.h"
-#include "src/cluster/copies/lookup.h"
+#include "src/cluster/copies/job_lookup.h"
+#include "src/cluster/copies/report_forwarder.h"
 #include "src/cluster/membership/membership.h"
 #include "src/config/config.h"
 #include "src/config/options.h"
@@ -54,13 +54,13 @@
   net::Address address() const { return listener_.address(); }
   void FleetSeen(const core::FleetSeen& seen) { driver_.Post(core::FleetSeen(seen)); }
   // Where word of a job that is not held here goes, where copies are kept.
-  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::Doors::Told)>;
+  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::ReportForwarder::Done)>;
   void LeadWords(LeadWord lead) { lead_word_ = std::move(lead); }
   // How many descriptors that other parts of the program may have they do not use now; egress may have some.
   void LendDescriptors(std::function<std::size_t()> unused) { unused_elsewhere_ = std::move(unused); }
   // Asks the other schedulers for a job by its client's key; told once, within `patience` microseconds.
   using LookUpJob = std::function<void(const std::string& alias, Micros patience,
-                                       std::function<void(cluster::copies::Verdict)> told)>;
+                                       std::function<void(cluster::copies::LookupResult)> told)>;
   void LookUpJobs(LookUpJob look_up) { look_up_job_ = std::move(look_up); }
   net::Driver& driver() { return driver_; }  // for jobs that come from another scheduler, and go there
   // The fleet's news of targets: what this front sees is told to `tell`, and others' word is looked into.
@@ -116,7 +116,7 @@
   void Serve(Ingress& in, Message message, std::string_view behind);
   void TakeRequest(Ingress& in, Message message);
   void LookUp(Ingress& in, Message message, core::Arrived arrived, const std::string& alias);
-  void AnswerFromElsewhere(Ingress& in, const cluster::copies::Verdict& verdict);
+  void AnswerFromElsewhere(Ingress& in, const cluster::copies::LookupResult& result);
   void Admit(Ingress& in, Message message, core::Arrived arrived, const std::string& alias);
   static match::Request AsRequest(const Message& message);
   static void ReadExtra(const Message& message, pebblenotch::Request& request);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,8 +9,8 @@
 #include <map>
 #include <memory>
 
-#include "src/cluster/copies/copies.h"
-#include "src/cluster/copies/tool.h"
+#include "src/cluster/copies/commands.h"
+#include "src/cluster/copies/replica_manager.h"
 #include "src/cluster/net/node.h"
 #include "src/cluster/tool.h"
 #include "src/config/config.h"
@@ -75,7 +75,8 @@
 // Makes this scheduler a member of its fleet; what the fleet looks like goes to the reducers.
 std::unique_ptr<cluster::Node> JoinFleet(net::Shared& shared, const config::Config& config,
                                          const config::Options& options, http::Front& front,
-                                         faktory::Front* second, const cluster::copies::Copies* copies) {
+                                         faktory::Front* second,
+                                         const cluster::copies::ReplicaManager* copies) {
   std::string fronts = "http=" + net::ToText(front.address());
   if (second != nullptr) fronts += ",faktory=" + net::ToText(second->address());
   if (copies != nullptr) fronts += ",copies=" + net::ToText(copies->address());
@@ -99,90 +100,91 @@
 }
 
 // Null where no copies are kept. The fronts' stores are led through it.
-std::unique_ptr<cluster::copies::Copies> KeepCopies(net::Shared& shared, const config::Config& config,
-                                                    config::Options& options) {
+std::unique_ptr<cluster::copies::ReplicaManager> KeepCopies(net::Shared& shared, const config::Config& config,
+                                                            config::Options& options) {
   if (options.cluster.copies <= 1) return nullptr;
   const cluster::Options& o = options.cluster;
-  auto copies = std::make_unique<cluster::copies::Copies>(
-      shared, cluster::copies::Copies::Settings{o.fleet, o.name.empty() ? config.name : o.name, o.copies,
-                                                o.copies_listen, o.copies_reach, o.takeover, ExpectsOthers(o),
-                                                options.durable.folder, config.seed + 8});
+  auto copies = std::make_unique<cluster::copies::ReplicaManager>(
+      shared, cluster::copies::ReplicaManager::Settings{
+                  o.fleet, o.name.empty() ? config.name : o.name, o.copies, o.copies_listen, o.copies_reach,
+                  o.takeover, ExpectsOthers(o), options.durable.folder, config.seed + 8});
   options.durable.copied = [c = copies.get()](const std::string& front,
                                               std::unique_ptr<durable::SqliteStore> store) {
-    return c->Lead(front, std::move(store));
+    return c->OpenReplicatedStore(front, std::move(store));
   };
   return copies;
 }
 
 // The newest life of each name, one that is there before others.
-std::vector<cluster::copies::Seen> SeenBy(const cluster::Node& node) {
-  std::map<std::string, cluster::copies::Seen> by_name;
+std::vector<cluster::copies::KnownMember> SeenBy(const cluster::Node& node) {
+  std::map<std::string, cluster::copies::KnownMember> by_name;
   for (const cluster::View& v : node.core().Members()) {
     const bool here = v.record.state <= cluster::State::kSuspect;
-    cluster::copies::Seen& seen = by_name[v.record.id.name];
+    cluster::copies::KnownMember& seen = by_name[v.record.id.name];
     if (!here && !seen.name.empty() && seen.gone_since < 0) continue;
     seen.name = v.record.id.name;
     seen.zone = v.record.zone;
     seen.gone_since = here ? -1 : v.since;
     constexpr std::string_view kLabel = "copies=";
     const auto at = v.record.fronts.find(kLabel);
-    seen.at = at == std::string::npos ? "" : v.record.fronts.substr(at + kLabel.size());
-    seen.at = seen.at.substr(0, seen.at.find(','));
+    seen.address = at == std::string::npos ? "" : v.record.fronts.substr(at + kLabel.size());
+    seen.address = seen.address.substr(0, seen.address.find(','));
   }
-  std::vector<cluster::copies::Seen> all;
+  std::vector<cluster::copies::KnownMember> all;
   for (auto& [name, seen] : by_name) all.push_back(std::move(seen));
   return all;
 }
 
 // What another scheduler is told of a job that is known here, or not.
-cluster::copies::Verdict VerdictOf(const durable::Job* job, bool known_now) {
-  using cluster::copies::Found;
-  if (!known_now) return {Found::kNotNow, {}};
-  if (job == nullptr) return {Found::kUnknown, {}};
-  if (job->state != durable::State::kAnswered) return {Found::kOpen, {}};
-  if (job->answer != durable::Answer::kDone) return {Found::kFailed, {}};
-  return {Found::kDone, job->text};
+cluster::copies::LookupResult VerdictOf(const durable::Job* job, bool known_now) {
+  using cluster::copies::LookupStatus;
+  if (!known_now) return {LookupStatus::kRetry, {}};
+  if (job == nullptr) return {LookupStatus::kUnknown, {}};
+  if (job->state != durable::State::kAnswered) return {LookupStatus::kOpen, {}};
+  if (job->answer != durable::Answer::kDone) return {LookupStatus::kFailed, {}};
+  return {LookupStatus::kDone, job->text};
 }
 
 // What is held for schedulers that are gone goes through the fronts, as their own does.
-void ServeCopies(cluster::copies::Copies& copies, http::Front& front, faktory::Front* second) {
+void ServeCopies(cluster::copies::ReplicaManager& copies, http::Front& front, faktory::Front* second) {
   const auto driver = [&front, second](const std::string& name) -> net::Driver* {
     return name == "http" ? &front.driver() : second != nullptr ? &second->driver() : nullptr;
   };
-  copies.Serve({[driver](durable::Held held) {
-                  if (net::Driver* d = driver(held.front)) d->Hold(std::move(held));
-                },
-                [driver](const std::string& group, const std::string& name, bool own) {
-                  if (net::Driver* d = driver(name)) d->Lose(group, own);
-                },
-                [driver](const std::string& group, const std::string& name) {
-                  net::Driver* d = driver(name);
-                  return d == nullptr || d->Idle(group);
-                },
-                [driver](const std::string& name, core::HopNews news, std::function<void(bool)> told) {
-                  net::Driver* d = driver(name);
-                  return d != nullptr && d->TakeWord(std::move(news), std::move(told));
-                },
-                [driver](const std::string& name, const cluster::copies::JobName& job,
-                         std::function<void(cluster::copies::Verdict)> told) {
-                  net::Driver* d = driver(name);
-                  if (d == nullptr) return told({});
-                  d->Find(job.text, job.is_alias, [told](const durable::Job* found, bool known_now) {
-                    told(VerdictOf(found, known_now));
-                  });
-                }});
+  copies.SetFrontHooks(
+      {[driver](durable::Held held) {
+         if (net::Driver* d = driver(held.front)) d->Hold(std::move(held));
+       },
+       [driver](const std::string& group, const std::string& name, bool own) {
+         if (net::Driver* d = driver(name)) d->Lose(group, own);
+       },
+       [driver](const std::string& group, const std::string& name) {
+         net::Driver* d = driver(name);
+         return d == nullptr || d->Idle(group);
+       },
+       [driver](const std::string& name, core::HopNews news, std::function<void(bool)> told) {
+         net::Driver* d = driver(name);
+         return d != nullptr && d->TakeWord(std::move(news), std::move(told));
+       },
+       [driver](const std::string& name, const cluster::copies::JobName& job,
+                std::function<void(cluster::copies::LookupResult)> told) {
+         net::Driver* d = driver(name);
+         if (d == nullptr) return told({});
+         d->Find(job.text, job.is_alias,
+                 [told](const durable::Job* found, bool known_now) { told(VerdictOf(found, known_now)); });
+       }});
   const auto lead = [&copies, driver](const std::string& name) {
-    return [&copies, d = driver(name), name](const core::HopNews& news, cluster::copies::Doors::Told told) {
+    return [&copies, d = driver(name), name](const core::HopNews& news,
+                                             cluster::copies::ReportForwarder::Done told) {
       // It may be among those that are still coming.
-      if (d->coming()) return told(cluster::copies::Heard::kNotNow);
-      copies.Lead(name, news, std::move(told));
+      if (d->coming()) return told(cluster::copies::ForwardOutcome::kRetry);
+      copies.ForwardReport(name, news, std::move(told));
     };
   };
   front.LeadWords(lead("http"));
   if (second != nullptr) second->LeadWords(lead("faktory"));
   const auto look_up = [&copies](const std::string& name, bool is_alias) {
     return [&copies, name, is_alias](const std::string& job, net::Micros patience, auto told) {
-      copies.LookUp(name, {job, is_alias}, patience, std::move(told));
+      copies.LookUpJob(name, {job, is_alias}, patience, std::move(told));
     };
   };
   front.LookUpJobs(look_up("http", true));
@@ -211,7 +213,7 @@
     if (--undrained == 0) loop.Stop();
   };
   const std::unique_ptr<match::Service> rules = LoadRules(config, options);
-  const std::unique_ptr<cluster::copies::Copies> copies = KeepCopies(shared, config, options);
+  const std::unique_ptr<cluster::copies::ReplicaManager> copies = KeepCopies(shared, config, options);
   http::Front front(shared, config, options, faktory.enabled, rules.get(), drained);
   std::unique_ptr<faktory::Front> second;
   if (faktory.enabled)
@@ -242,7 +244,8 @@
   if (options.cluster.enabled) {
     member = JoinFleet(shared, config, options, front, second.get(), copies.get());
     if (copies) {
-      copies->Watch([&member] { return member ? SeenBy(*member) : std::vector<cluster::copies::Seen>{}; });
+      copies->SetMemberSource(
+          [&member] { return member ? SeenBy(*member) : std::vector<cluster::copies::KnownMember>{}; });
       ServeCopies(*copies, front, second.get());
     }
     front.TellFleet([&member](const cluster::SawWorker& saw) {
@@ -256,7 +259,8 @@
                                          [&] {
                                            FleetFigures figures = member ? member->Figures() : FleetFigures{};
                                            if (copies) {
-                                             for (auto& figure : copies->Figures()) figures.push_back(figure);
+                                             for (auto& figure : copies->Counters())
+                                               figures.push_back(figure);
                                            }
                                            return console::Figures{&front.reducer().counters(),
                                                                    &config.classes,
@@ -271,7 +275,7 @@
                                          member ? [&] { return cluster::StandingBody(*member); } : Text{},
                                          member ? [&] { return cluster::MembersBody(*member); } : Text{},
                                          [&] { member->Leave(); },
-                                         copies ? [&] { return copies->Body(); } : Text{}};
+                                         copies ? [&] { return copies->StatusJson(); } : Text{}};
     desk = std::make_unique<console::Console>(
         shared, config.console, [operations](const http::Message& call) { return Answer(call, operations); });
   }
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -1,11 +1,10 @@
 // Copies without processes: frames, the file that keeps them, batches that are proposed twice, and a store
 // that is behind its log.
-#include "src/cluster/copies/copies.h"
-
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
+#include "src/cluster/copies/replica_manager.h"
 #include "src/durable/codec.h"
 
 namespace heronway::cluster::copies {
@@ -27,10 +26,10 @@
   return e;
 }
 
-void Wait(Disk& disk, std::size_t done) {
+void Wait(ReplicaStore& disk, std::size_t done) {
   std::size_t got = 0;
   for (int n = 0; n < 500 && got < done; ++n) {
-    got += disk.TakeDone().size();
+    got += disk.TakeCompletions().size();
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
   ASSERT_EQ(got, done);
@@ -38,16 +37,16 @@
 
 TEST(Frames, ComeBackWholeAndCutOnesAreNothing) {
   Frame f;
-  f.kind = Frame::Kind::kNames;
+  f.kind = Frame::Kind::kServers;
   f.fleet = "f";
   f.from = "s1";
   f.to = "s2";
-  f.at = "10.0.0.4:7947";
+  f.detail = "10.0.0.4:7947";
   f.group = "s1/http/17";
   f.message = std::string("a\0b", 3);
   f.server = 5;
   f.servers = {{5, {"s1", "10.0.0.4:7947"}}, {6, {"s2", ""}}};
-  const std::string bytes = Encode(f).substr(kHeadBytes);
+  const std::string bytes = Encode(f).substr(kHeaderBytes);
   const auto back = Decode(bytes);
   ASSERT_TRUE(back.has_value());
   EXPECT_EQ(back->group, f.group);
@@ -55,7 +54,7 @@
   EXPECT_EQ(back->servers, f.servers);
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(Decode(bytes.substr(0, n)).has_value()) << n;
   f.group = "s1/../17 \n";
-  EXPECT_FALSE(Decode(Encode(f).substr(kHeadBytes)).has_value()) << "a blank and a line's end";
+  EXPECT_FALSE(Decode(Encode(f).substr(kHeaderBytes)).has_value()) << "a blank and a line's end";
 }
 
 TEST(Groups, NamesHaveTheirParts) {
@@ -66,29 +65,29 @@
   EXPECT_EQ(OwnerOf("a/b"), "");
 }
 
-TEST(Disk, KeepsVotesEntriesSnapshotsAndNames) {
+TEST(ReplicaStore, KeepsVotesEntriesSnapshotsAndNames) {
   Folder folder;
   {
-    Disk disk(folder.path, [] {});
+    ReplicaStore disk(folder.path, [] {});
     EXPECT_TRUE(disk.Read().empty());
-    GroupOnDisk g;
+    StoredGroup g;
     g.group = "s1/http/1";
     g.self = 77;
-    disk.Hand(g.group, g);
-    disk.Hand("s2/http/1", GroupOnDisk{"s2/http/1", 78, {}, {}});
+    disk.Enqueue(g.group, g);
+    disk.Enqueue("s2/http/1", StoredGroup{"s2/http/1", 78, {}, {}});
     log::Persist p{
         1, log::Vote{3, 9}, nullptr, 1, {EntryOf(1, "one"), EntryOf(1, "two"), EntryOf(2, "three")}};
-    disk.Hand(g.group, p);
+    disk.Enqueue(g.group, p);
     p = {2, std::nullopt, nullptr, 3, {EntryOf(3, "other")}};
-    disk.Hand(g.group, p);
+    disk.Enqueue(g.group, p);
     auto snapshot = std::make_shared<log::Snapshot>(log::Snapshot{1, 1, {{77}, {}}, "state"});
-    disk.Hand(g.group, log::Persist{3, std::nullopt, snapshot, 0, {}});
-    disk.Hand(g.group, Servers{{77, {"s1", "10.0.0.1:1"}}});
-    disk.Hand("s2/http/1", Disk::Drop{});
+    disk.Enqueue(g.group, log::Persist{3, std::nullopt, snapshot, 0, {}});
+    disk.Enqueue(g.group, Servers{{77, {"s1", "10.0.0.1:1"}}});
+    disk.Enqueue("s2/http/1", ReplicaStore::Drop{});
     Wait(disk, 5);
-    EXPECT_THROW(Disk(folder.path, [] {}), durable::StoreError) << "another serves from it";
+    EXPECT_THROW(ReplicaStore(folder.path, [] {}), durable::StoreError) << "another serves from it";
   }
-  Disk disk(folder.path, [] {});
+  ReplicaStore disk(folder.path, [] {});
   const auto all = disk.Read();
   ASSERT_EQ(all.size(), 1u);
   EXPECT_EQ(all[0].self, 77u);
@@ -101,15 +100,16 @@
 }
 
 // A bit that turned, anywhere in an entry, is found and named; nothing is read past it.
-TEST(Disk, DamageIsNamed) {
+TEST(ReplicaStore, DamageIsNamed) {
   Folder folder;
   {
-    Disk disk(folder.path, [] {});
-    disk.Hand("s1/http/1", GroupOnDisk{"s1/http/1", 77, {}, {}});
-    disk.Hand("s1/http/1", log::Persist{1, std::nullopt, nullptr, 1, {EntryOf(1, std::string(9'000, 'q'))}});
+    ReplicaStore disk(folder.path, [] {});
+    disk.Enqueue("s1/http/1", StoredGroup{"s1/http/1", 77, {}, {}});
+    disk.Enqueue("s1/http/1",
+                 log::Persist{1, std::nullopt, nullptr, 1, {EntryOf(1, std::string(9'000, 'q'))}});
     Wait(disk, 2);
   }
-  const std::string file = Disk::FileOf(folder.path);
+  const std::string file = ReplicaStore::FilePath(folder.path);
   std::FILE* f = std::fopen(file.c_str(), "r+b");
   ASSERT_NE(f, nullptr);
   std::string bytes(std::filesystem::file_size(file), '\0');
@@ -119,7 +119,7 @@
   std::fseek(f, static_cast<long>(at), SEEK_SET);
   std::fputc('r', f);
   std::fclose(f);
-  Disk disk(folder.path, [] {});
+  ReplicaStore disk(folder.path, [] {});
   try {
     disk.Read();
     FAIL();
@@ -138,106 +138,107 @@
   r.text = "text of " + id;
   return r;
 }
-std::size_t Jobs(durable::SqliteStore& store) { return DumpOf(store).jobs.size(); }
+std::size_t Jobs(durable::SqliteStore& store) { return ReadContents(store).jobs.size(); }
 
-TEST(CopiedStore, ABatchThatWasProposedTwiceCountsOnce) {
+TEST(ReplicatedStore, ABatchThatWasProposedTwiceCountsOnce) {
   Folder folder;
   durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
   durable::Applied applied = store.applied();
   EXPECT_EQ(applied.index, 0u);
   const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
-    return OwnGroup::Committed{index, Encode(Batch{life, number, durable::Encode({Taken(id)})})};
+    return LogChannel::Committed{index, Encode(Batch{life, number, durable::Encode({Taken(id)})})};
   };
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(2, 9, 1, "a")));
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "the same entry";
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(3, 9, 1, "a"))) << "the same batch";
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(4, 9, 2, "b")));
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a")));
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "the same entry";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(3, 9, 1, "a"))) << "the same batch";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(4, 9, 2, "b")));
   durable::Applied again = store.applied();
   EXPECT_EQ(again.index, 4u);
-  EXPECT_FALSE(CopiedStore::Apply(store, again, entry(5, 9, 2, "b"))) << "also after a restart";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(6, 10, 1, "c"))) << "another life counts anew";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, again, entry(5, 9, 2, "b"))) << "also after a restart";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(6, 10, 1, "c"))) << "another life counts anew";
   EXPECT_EQ(Jobs(store), 3u);
 }
 
 // What a process proposed that held the group once and does not know that it holds it no more.
-TEST(CopiedStore, OnlyTheBatchesOfWhoeverHoldsTheGroupCount) {
+TEST(ReplicatedStore, OnlyTheBatchesOfWhoeverHoldsTheGroupCount) {
   Folder folder;
   durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
   durable::Applied applied = store.applied();
   const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
     const std::vector<durable::Record> records =
         number == 0 ? std::vector<durable::Record>{} : std::vector<durable::Record>{Taken(id)};
-    return OwnGroup::Committed{index, Encode(Batch{kFenced | life, number, durable::Encode(records)})};
+    return LogChannel::Committed{index, Encode(Batch{kFencedEpoch | life, number, durable::Encode(records)})};
   };
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "it has not taken hold";
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(3, 9, 0, "")));
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(4, 9, 1, "a")));
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(5, 10, 0, ""))) << "another takes hold";
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(6, 9, 2, "b"))) << "late";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "it has not taken hold";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(3, 9, 0, "")));
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(4, 9, 1, "a")));
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(5, 10, 0, ""))) << "another takes hold";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(6, 9, 2, "b"))) << "late";
   durable::Applied again = store.applied();
-  EXPECT_FALSE(CopiedStore::Apply(store, again, entry(6, 9, 2, "b"))) << "also after a restart";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(7, 10, 1, "c")));
-  EXPECT_FALSE(CopiedStore::Apply(store, again, entry(8, 10, 1, "c"))) << "twice";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(9, 9, 0, ""))) << "and back";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(10, 9, 1, "d")));
+  EXPECT_FALSE(ReplicatedStore::Apply(store, again, entry(6, 9, 2, "b"))) << "also after a restart";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(7, 10, 1, "c")));
+  EXPECT_FALSE(ReplicatedStore::Apply(store, again, entry(8, 10, 1, "c"))) << "twice";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(9, 9, 0, ""))) << "and back";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(10, 9, 1, "d")));
   EXPECT_EQ(Jobs(store), 3u);
 }
 
 // A writer that finds in the log that another holds the group stores nothing more, whatever it is asked, and
 // leaves its store where it stands.
-TEST(CopiedStore, AWriterStopsWhereAnotherTakesHold) {
+TEST(ReplicatedStore, AWriterStopsWhereAnotherTakesHold) {
   Folder folder;
-  auto group = std::make_shared<OwnGroup>([] {});
+  auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
       durable::SqliteStore::Use::kServe);
-  durable::SqliteStore* look = inner.get();
-  CopiedStore store(std::move(inner), group, kFenced | 7);
-  group->Deliver(5, Encode(Batch{kFenced | 8, 0, durable::Encode(std::vector<durable::Record>{})}));
-  group->Deliver(6, Encode(Batch{kFenced | 7, 1, durable::Encode({Taken("a")})}));
+  durable::SqliteStore* inner_store = inner.get();
+  ReplicatedStore store(std::move(inner), group, kFencedEpoch | 7);
+  group->Deliver(5, Encode(Batch{kFencedEpoch | 8, 0, durable::Encode(std::vector<durable::Record>{})}));
+  group->Deliver(6, Encode(Batch{kFencedEpoch | 7, 1, durable::Encode({Taken("a")})}));
   EXPECT_THROW(store.Append({Taken("a")}), durable::StoreError);
   EXPECT_THROW(store.Append({Taken("a")}), durable::StoreError);
-  EXPECT_EQ(Jobs(*look), 0u);
-  EXPECT_EQ(look->applied().index, 0u);
+  EXPECT_EQ(Jobs(*inner_store), 0u);
+  EXPECT_EQ(inner_store->applied().index, 0u);
 }
 
 // The writer's side: what is refused is asked for again, with the same numbers; what is committed late
 // counts.
-TEST(CopiedStore, AnAppendThatFailsIsTheSameAppendAgain) {
+TEST(ReplicatedStore, AnAppendThatFailsIsTheSameAppendAgain) {
   Folder folder;
-  auto group = std::make_shared<OwnGroup>([] {});
+  auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
       durable::SqliteStore::Use::kServe);
-  durable::SqliteStore* look = inner.get();
-  CopiedStore store(std::move(inner), group, 7);
-  group->Refuse("nobody leads");
+  durable::SqliteStore* inner_store = inner.get();
+  ReplicatedStore store(std::move(inner), group, 7);
+  group->Reject("nobody leads");
   std::vector<durable::Record> records = {Taken("a"), Taken("b")};
   std::thread late([&] {
-    while (group->TakeAsked().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    group->Refuse("not led here");
+    while (group->TakeProposals().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    group->Reject("not led here");
   });
   EXPECT_THROW(store.Append(records), durable::StoreError);
   late.join();
   std::thread other([&] {
-    std::vector<std::string> asked;
-    while ((asked = group->TakeAsked()).empty()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    std::vector<std::string> proposals;
+    while ((proposals = group->TakeProposals()).empty())
+      std::this_thread::sleep_for(std::chrono::milliseconds(1));
     log::Index index = 5;
-    for (const std::string& data : asked) group->Deliver(index++, data);  // of the first time
-    for (const std::string& data : asked) group->Deliver(index++, data);  // and of this
+    for (const std::string& data : proposals) group->Deliver(index++, data);  // of the first time
+    for (const std::string& data : proposals) group->Deliver(index++, data);  // and of this
   });
   store.Append(records);
   other.join();
-  EXPECT_EQ(Jobs(*look), 2u);
+  EXPECT_EQ(Jobs(*inner_store), 2u);
 }
 
-TEST(CopiedStore, ALargeBatchGoesInParts) {
+TEST(ReplicatedStore, ALargeBatchGoesInParts) {
   Folder folder;
-  auto group = std::make_shared<OwnGroup>([] {});
-  CopiedStore store(std::make_unique<durable::SqliteStore>(
-                        durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-                        durable::SqliteStore::Use::kServe),
-                    group, 7);
+  auto group = std::make_shared<LogChannel>([] {});
+  ReplicatedStore store(std::make_unique<durable::SqliteStore>(
+                            durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
+                            durable::SqliteStore::Use::kServe),
+                        group, 7);
   std::vector<durable::Record> records;
   for (int n = 0; n < 20; ++n) {
     records.push_back(Taken("j" + std::to_string(n)));
@@ -247,7 +248,7 @@
   std::thread loop([&] {
     log::Index index = 2;
     for (bool any = false; !any;) {
-      for (const std::string& data : group->TakeAsked()) {
+      for (const std::string& data : group->TakeProposals()) {
         any = true;
         ++parts;
         largest = std::max(largest, data.size());
@@ -258,17 +259,17 @@
   store.Append(records);
   loop.join();
   EXPECT_GE(parts, 5u);
-  EXPECT_LT(largest, kMostFrame / 2);
+  EXPECT_LT(largest, kMaxFrameBytes / 2);
 }
 
 // A member by itself: it leads its group at once, finds it again, and begins another where its store was
 // written without the log in between.
-TEST(Copies, AStoreThatLeftItsLogBeginsAnotherGroup) {
+TEST(ReplicaManager, AStoreThatLeftItsLogBeginsAnotherGroup) {
   Folder folder;
   net::BufferPool pool(256);
   net::Loop loop;
   net::Shared shared{loop, pool, false};
-  Copies::Settings settings;
+  ReplicaManager::Settings settings;
   settings.fleet = "f";
   settings.name = "s1";
   settings.listen = *net::ParseAddress("127.0.0.1:0");
@@ -279,9 +280,9 @@
         durable::SqliteStore::Use::kServe);
   };
   const auto groups = [&] {
-    Copies copies(shared, settings);
-    const auto store = copies.Lead("http", open());
-    const std::string body = copies.Body();
+    ReplicaManager copies(shared, settings);
+    const auto store = copies.OpenReplicatedStore("http", open());
+    const std::string body = copies.StatusJson();
     std::size_t n = 0;
     for (auto at = body.find("\"group\":"); at != body.npos; at = body.find("\"group\":", at + 1)) ++n;
     EXPECT_NE(body.find("\"role\":\"leader\""), body.npos);
--- a/tests/cluster/placement_test.cpp
+++ b/tests/cluster/placement_test.cpp
@@ -21,7 +21,7 @@
 TEST(Placement, TheOwnerFirstAndNoZoneTwiceWhileThereAreOthers) {
   const auto fleet = Fleet(30, 3);
   for (const Candidate& owner : fleet) {
-    const auto at = Place(owner.name, fleet, 3);
+    const auto at = ChooseReplicas(owner.name, fleet, 3);
     ASSERT_EQ(at.size(), 3u);
     EXPECT_EQ(at[0], owner.name);
     std::set<std::string> zones;
@@ -30,15 +30,15 @@
           std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == name; })->zone);
     EXPECT_EQ(zones.size(), 3u);
   }
-  EXPECT_EQ(Place("s0", Fleet(30, 2), 5).size(), 5u) << "two zones for five copies";
-  EXPECT_EQ(Place("s0", Fleet(2, 1), 3).size(), 2u) << "no more than there are";
+  EXPECT_EQ(ChooseReplicas("s0", Fleet(30, 2), 5).size(), 5u) << "two zones for five copies";
+  EXPECT_EQ(ChooseReplicas("s0", Fleet(2, 1), 3).size(), 2u) << "no more than there are";
 }
 
 TEST(Placement, AMemberOfThreeHundredKeepsAFew) {
   const auto fleet = Fleet(300, 3);
   std::map<std::string, int> kept;
   for (const Candidate& owner : fleet) {
-    for (const std::string& name : Place(owner.name, fleet, 3)) ++kept[name];
+    for (const std::string& name : ChooseReplicas(owner.name, fleet, 3)) ++kept[name];
   }
   for (const auto& [name, n] : kept) {
     EXPECT_GE(n, 1) << name;
@@ -52,7 +52,7 @@
   less[17].gone_since = 0;
   for (const Candidate& owner : fleet) {
     if (owner.name == "s17") continue;
-    const auto before = Place(owner.name, fleet, 3), after = Place(owner.name, less, 3);
+    const auto before = ChooseReplicas(owner.name, fleet, 3), after = ChooseReplicas(owner.name, less, 3);
     int moved = 0;
     for (const std::string& name : after)
       moved += std::find(before.begin(), before.end(), name) == before.end();
@@ -63,9 +63,9 @@
 
 TEST(Placement, ARestartMovesNothingAndALostMemberIsReplaced) {
   auto fleet = Fleet(9, 3);
-  const auto held = Place("s0", fleet, 3);
-  const auto next = [&](const std::vector<std::string>& holders, Micros now, bool balance = false) {
-    return NextMove("s0", holders, fleet, 3, now, 10 * kMinute, balance);
+  const auto held = ChooseReplicas("s0", fleet, 3);
+  const auto next = [&](const std::vector<std::string>& current, Micros now, bool balance = false) {
+    return NextChange("s0", current, fleet, 3, now, 10 * kMinute, balance);
   };
   EXPECT_FALSE(next(held, 0).has_value());
   auto lost = std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == held[1]; });
@@ -95,10 +95,10 @@
 
 TEST(Placement, TooFewAreFilledUp) {
   const auto fleet = Fleet(9, 3);
-  const auto move = NextMove("s0", {"s0"}, fleet, 3, 0, 10 * kMinute, false);
+  const auto move = NextChange("s0", {"s0"}, fleet, 3, 0, 10 * kMinute, false);
   ASSERT_TRUE(move.has_value());
   EXPECT_TRUE(move->remove.empty());
-  EXPECT_EQ(move->add, Place("s0", fleet, 3)[1]);
+  EXPECT_EQ(move->add, ChooseReplicas("s0", fleet, 3)[1]);
 }
 
 }  // namespace
