--- a/src/cluster/copies/job_lookup.cpp
+++ b/src/cluster/copies/job_lookup.cpp
@@ -4,12 +4,12 @@
 #include <utility>
 
 #include "src/cluster/copies/frames.h"
-#include "src/pack/members.h"
+#include "src/pack/array_reader.h"
 
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr std::size_t kMostName = 4096;               // bytes
+constexpr std::size_t kMaxJobNameBytes = 4096;        // bytes
 constexpr std::size_t kMaxResultBytes = 1024 * 1024;  // bytes
 constexpr std::size_t kMaxGroups = 64;
 
@@ -21,16 +21,16 @@
   return {bytes.data(), bytes.size()};
 }
 
-std::string ShortText(pack::Members& in, std::size_t most) {
+std::string ShortText(pack::ArrayReader& in, std::size_t most) {
   std::string text = in.Next().as<std::string>();
-  pack::Members::Need(text.size() <= most);
+  pack::ArrayReader::Require(text.size() <= most);
   return text;
 }
 
-std::vector<std::string> Groups(pack::Members& in) {
+std::vector<std::string> Groups(pack::ArrayReader& in) {
   auto groups = in.Next().as<std::vector<std::string>>();
-  pack::Members::Need(groups.size() <= kMaxGroups);
-  for (const std::string& group : groups) pack::Members::Need(group.size() <= kMaxGroupNameBytes);
+  pack::ArrayReader::Require(groups.size() <= kMaxGroups);
+  for (const std::string& group : groups) pack::ArrayReader::Require(group.size() <= kMaxGroupNameBytes);
   return groups;
 }
 
@@ -53,10 +53,10 @@
 std::optional<JobQuery> DecodeJobQuery(std::string_view bytes) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::Members in(whole.get(), 3);
+    pack::ArrayReader in(whole.get(), 3);
     JobQuery query;
     query.own_group = ShortText(in, kMaxGroupNameBytes);
-    query.name.text = ShortText(in, kMostName);
+    query.name.text = ShortText(in, kMaxJobNameBytes);
     query.name.is_alias = in.Next().as<bool>();
     return query;
   } catch (const std::exception&) {
@@ -67,7 +67,7 @@
 std::optional<JobReply> DecodeJobReply(std::string_view bytes) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::Members in(whole.get(), 4);
+    pack::ArrayReader in(whole.get(), 4);
     JobReply reply;
     reply.status = in.Enum(LookupStatus::kFailed);
     reply.result = ShortText(in, kMaxResultBytes);
--- a/src/cluster/copies/replicated_store.cpp
+++ b/src/cluster/copies/replicated_store.cpp
@@ -63,7 +63,7 @@
 
 ReplicatedStore::ReplicatedStore(std::unique_ptr<durable::SqliteStore> store,
                                  std::shared_ptr<LogChannel> channel, std::uint64_t life)
-    : store_(std::move(store)), channel_(std::move(channel)), boot_time_(life), applied_(store_->applied()) {}
+    : store_(std::move(store)), channel_(std::move(channel)), epoch_(life), applied_(store_->applied()) {}
 
 bool ReplicatedStore::Apply(durable::SqliteStore& store, durable::Applied& applied,
                             const LogChannel::Committed& entry) {
@@ -90,7 +90,7 @@
     std::vector<durable::Record> part;
     std::size_t bytes = 0;
     const auto finish_part = [&] {
-      const Batch b{boot_time_, ++last_number_, durable::Encode(part)};
+      const Batch b{epoch_, ++last_number_, durable::Encode(part)};
       pending_parts_.emplace_back(b.number, Encode(b));
       part.clear();
       bytes = 0;
@@ -114,11 +114,11 @@
     const auto batch = DecodeBatch(committed_entry_->data);
     // From here on the log is another's: this store is left where it stands, to be caught up when it is held
     // again.
-    superseded_ = batch && batch->number == 0 && batch->epoch != boot_time_;
+    superseded_ = batch && batch->number == 0 && batch->epoch != epoch_;
     if (superseded_) throw StoreError(StoreError::Kind::kOther, "copies: another has taken hold of them");
     Apply(*store_, applied_, *committed_entry_);
     committed_entry_.reset();
-    while (batch && batch->epoch == boot_time_ && !pending_parts_.empty() &&
+    while (batch && batch->epoch == epoch_ && !pending_parts_.empty() &&
            pending_parts_.front().first <= batch->number)
       pending_parts_.pop_front();
   }
--- a/src/cluster/copies/replicated_store.h
+++ b/src/cluster/copies/replicated_store.h
@@ -72,7 +72,7 @@
   std::unique_ptr<durable::SqliteStore> store_;
   std::shared_ptr<LogChannel> channel_;
   bool superseded_ = false;  // another has taken hold of the group
-  std::uint64_t boot_time_, last_number_ = 0;
+  std::uint64_t epoch_, last_number_ = 0;
   durable::Applied applied_;
   std::deque<std::pair<std::uint64_t, std::string>>
       pending_parts_;                                     // of the batch under way, not committed yet
