--- a/src/cluster/copies/log_content.cpp
+++ b/src/cluster/copies/log_content.cpp
@@ -112,7 +112,7 @@
 LogSection ReadLog(const log::Log& log, log::Index after, log::Index last) {
   LogSection section;
   if (log.snapshot() != nullptr && after < log.snapshot()->index) section.snapshot = log.snapshot();
-  section.first = std::max(log.first(), after + 1);
+  section.first = std::max(log.first_index(), after + 1);
   for (log::Index i = section.first; i <= last; ++i) section.entries.push_back(log.EntryAt(i));
   return section;
 }
--- a/src/cluster/copies/reconfiguration.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -20,17 +20,17 @@
   if (g.log->role() != log::Role::kLeader) return;
   const Micros now = shared_.loop.Now();
   if (now - g.servers_sent_at >= 2 * kSecond) SendServers(g);
-  const log::Members& servers = g.log->members();
+  const log::Configuration& servers = g.log->configuration();
   if (g.own && !g.channel && !g.opening) ClaimGroup(g);
   if (!g.own) {
     // Its owner is to lead it: nobody else runs its jobs while that is there.
     for (const auto& lag : g.log->Followers()) {
       const auto who = g.servers.find(lag.server);
       const bool owner = who != g.servers.end() && who->second.first == OwnerOf(g.name);
-      if (!owner || now - lag.heard > kSecond) continue;
+      if (!owner || now - lag.last_contact > kSecond) continue;
       if (!ReleaseGroup(g) || now - g.transfer_sent_at < 2 * kSecond) return;
       g.transfer_sent_at = now;
-      return HandleEvent(g, log::Transfer{lag.server});
+      return HandleEvent(g, log::TransferLeadership{lag.server});
     }
     if (g.channel && g.releasing) return StopServing(g);  // its owner has gone again meanwhile
     const auto owner = std::find_if(members.begin(), members.end(),
@@ -48,13 +48,14 @@
           std::max(kMinCompactBytes, g.log->snapshot() == nullptr ? 0 : g.log->snapshot()->data.size()))
     Compact(g);
   if (!g.own) return;
-  const auto change = [&](log::Change what, log::ServerId id) {
-    HandleEvent(g, log::ChangeMembers{++last_ticket_, what, id});
+  const auto change = [&](log::ConfigurationChange what, log::ServerId id) {
+    HandleEvent(g, log::ChangeConfiguration{++last_request_id_, what, id});
     SendServers(g);
   };
   for (const auto& lag : g.log->Followers()) {
     const bool learns = std::binary_search(servers.learners.begin(), servers.learners.end(), lag.server);
-    if (learns && lag.match >= g.log->committed()) return change(log::Change::kPromote, lag.server);
+    if (learns && lag.match_index >= g.log->commit_index())
+      return change(log::ConfigurationChange::kPromote, lag.server);
   }
   for (const log::ServerId id : g.accepted) {
     const bool in = std::binary_search(servers.voters.begin(), servers.voters.end(), id) ||
@@ -62,7 +63,7 @@
     if (in) continue;
     // Added once; one that is taken out later has to be asked again.
     g.accepted.erase(id);
-    return change(log::Change::kAddLearner, id);
+    return change(log::ConfigurationChange::kAddLearner, id);
   }
   if (members.empty()) return;
   std::vector<std::string> replicas;
@@ -72,7 +73,8 @@
       const auto who = g.servers.find(id);
       const std::string member = who == g.servers.end() ? "?" + std::to_string(id) : who->second.first;
       // A member with an older disk's server beside its new one: the older counts for nothing any more.
-      if (by_name.contains(member)) return change(log::Change::kRemove, std::min(id, by_name[member]));
+      if (by_name.contains(member))
+        return change(log::ConfigurationChange::kRemove, std::min(id, by_name[member]));
       replicas.push_back(member);
       by_name[member] = id;
     }
@@ -85,7 +87,7 @@
       NextChange(settings_.name, replicas, candidates, settings_.replicas, now, kPatience, false);
   if (!move) return;
   if (!move->remove.empty() && (move->add.empty() || static_cast<int>(replicas.size()) > settings_.replicas))
-    return change(log::Change::kRemove, by_name[move->remove]);
+    return change(log::ConfigurationChange::kRemove, by_name[move->remove]);
   if (move->add.empty() || now - g.invite_sent_at < kSecond) return;
   g.invite_sent_at = now;
   g.invited = move->add;
@@ -101,7 +103,7 @@
   names.kind = Frame::Kind::kServers;
   names.group = g.name;
   std::set<std::string> to;
-  for (const auto* ids : {&g.log->members().voters, &g.log->members().learners}) {
+  for (const auto* ids : {&g.log->configuration().voters, &g.log->configuration().learners}) {
     for (const log::ServerId id : *ids) {
       const auto who = g.servers.find(id);
       if (who == g.servers.end()) continue;
--- a/src/cluster/copies/replica_manager.cpp
+++ b/src/cluster/copies/replica_manager.cpp
@@ -81,7 +81,7 @@
 ReplicaManager::Group& ReplicaManager::AddGroup(StoredGroup on_disk, bool stored) {
   const std::string name = on_disk.group;
   const log::ServerId self = on_disk.self;
-  log::OnDisk log = on_disk.log;
+  log::PersistentState log = on_disk.log;
   on_disk.servers[self] = {settings_.name, net::ToText(links_.address())};
   for (const auto& [id, who] : on_disk.servers) links_.SetAddress(who.first, who.second);
   if (!stored) replica_store_.Enqueue(name, on_disk);
@@ -141,7 +141,7 @@
                           {"role", kRoles[static_cast<int>(role->role)]},
                           {"term", role->term},
                           {"leader", leader == g.servers.end() ? "unknown" : leader->second.first}});
-  } else if (std::holds_alternative<log::Refused>(effect)) {
+  } else if (std::holds_alternative<log::Rejected>(effect)) {
     if (g.channel) g.channel->Reject("this scheduler does not lead its copies now");
   }
 }
@@ -212,7 +212,7 @@
   if (who.first == member && (address.empty() || who.second == address)) return;
   who = {member, address.empty() ? who.second : address};
   // Guards memory against servers that come and go: those of the group, and as many again.
-  while (g.servers.size() > 2 * log::kMostServers) g.servers.erase(g.servers.begin());
+  while (g.servers.size() > 2 * log::kMaxServers) g.servers.erase(g.servers.begin());
   replica_store_.Enqueue(g.name, g.servers);
 }
 
@@ -244,7 +244,7 @@
     if (!g->channel) continue;
     for (std::string& data : g->channel->TakeProposals()) {
       log::Propose p;
-      p.ticket = ++last_ticket_;
+      p.request_id = ++last_request_id_;
       p.data = std::move(data);
       HandleEvent(*g, std::move(p));
     }
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -142,7 +142,7 @@
   std::map<std::string, std::unique_ptr<Group>> groups_;
   net::Timer check_timer_;
   std::string fault_;
-  std::uint64_t servers_made_ = 0, last_ticket_ = 0, claims_ = 0, takeovers_ = 0;
+  std::uint64_t servers_made_ = 0, last_request_id_ = 0, claims_ = 0, takeovers_ = 0;
   FrontHooks front_hooks_;
   ReportForwarder report_forwarder_;
   std::uint64_t reports_forwarded_ = 0, reports_stored_ = 0, lookups_sent_ = 0, jobs_found_elsewhere_ = 0;
--- a/src/cluster/copies/replica_store.cpp
+++ b/src/cluster/copies/replica_store.cpp
@@ -121,8 +121,8 @@
       StoredGroup g;
       g.group = groups.getColumn(0).getString();
       g.self = static_cast<log::ServerId>(groups.getColumn(1).getInt64());
-      g.log.vote = {static_cast<log::Term>(groups.getColumn(2).getInt64()),
-                    static_cast<log::ServerId>(groups.getColumn(3).getInt64())};
+      g.log.hard_state = {static_cast<log::Term>(groups.getColumn(2).getInt64()),
+                          static_cast<log::ServerId>(groups.getColumn(3).getInt64())};
       if (!groups.getColumn(5).isNull()) {
         const std::string body = groups.getColumn(5).getString();
         auto snapshot =
@@ -239,16 +239,16 @@
 
 void ReplicaStore::Impl::Put(const StoredGroup& g) {
   Execute("INSERT OR REPLACE INTO groups VALUES(?, ?, ?, ?, 0, NULL)", g.group,
-          static_cast<std::int64_t>(g.self), static_cast<std::int64_t>(g.log.vote.term),
-          static_cast<std::int64_t>(g.log.vote.of));
+          static_cast<std::int64_t>(g.self), static_cast<std::int64_t>(g.log.hard_state.term),
+          static_cast<std::int64_t>(g.log.hard_state.voted_for));
   if (g.log.snapshot != nullptr) PutSnapshot(g.group, *g.log.snapshot);
   Put(g.group, g.servers);
 }
 
 void ReplicaStore::Impl::Put(const std::string& group, const log::Persist& p) {
-  if (p.vote)
-    Execute("UPDATE groups SET term=?, vote=? WHERE name=?", static_cast<std::int64_t>(p.vote->term),
-            static_cast<std::int64_t>(p.vote->of), group);
+  if (p.hard_state)
+    Execute("UPDATE groups SET term=?, vote=? WHERE name=?", static_cast<std::int64_t>(p.hard_state->term),
+            static_cast<std::int64_t>(p.hard_state->voted_for), group);
   if (p.snapshot != nullptr) {
     PutSnapshot(group, *p.snapshot);
     Execute("DELETE FROM entries WHERE grp=? AND idx<=?", group,
--- a/src/cluster/copies/takeover.cpp
+++ b/src/cluster/copies/takeover.cpp
@@ -27,7 +27,7 @@
   const bool others = !g.own || !g.opening || g.last_epoch != g.stored_epoch;
   take.records = durable::Encode(others ? std::vector{broke} : std::vector<durable::Record>{});
   log::Propose p;
-  p.ticket = ++last_ticket_;
+  p.request_id = ++last_request_id_;
   p.data = Encode(take);
   HandleEvent(g, std::move(p));
 }
@@ -171,7 +171,7 @@
     made.self = NewServerId();
     auto first = std::make_shared<log::Snapshot>();
     first->index = 1;
-    first->members.voters = {made.self};
+    first->configuration.voters = {made.self};
     first->data = Encode(contents);
     made.log.snapshot = first;
     store->Refill(contents.clock_broke, contents.jobs, {1, 0, 0});
@@ -191,7 +191,8 @@
   Micros last_warning_at = shared_.loop.Now();
   while (!g->channel || g->log->role() != log::Role::kLeader) {
     shared_.loop.RunTurn();
-    if (g->log->role() == log::Role::kLeader && g->log->committed() == g->log->last()) ClaimGroup(*g);
+    if (g->log->role() == log::Role::kLeader && g->log->commit_index() == g->log->last_index())
+      ClaimGroup(*g);
     if (shared_.loop.Now() - last_warning_at < 5 * kSecond) continue;
     last_warning_at = shared_.loop.Now();
     heronway::log::Event(heronway::log::Level::kWarn, "copies",
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -76,7 +76,7 @@
     disk.Enqueue(g.group, g);
     disk.Enqueue("s2/http/1", StoredGroup{"s2/http/1", 78, {}, {}});
     log::Persist p{
-        1, log::Vote{3, 9}, nullptr, 1, {EntryOf(1, "one"), EntryOf(1, "two"), EntryOf(2, "three")}};
+        1, log::HardState{3, 9}, nullptr, 1, {EntryOf(1, "one"), EntryOf(1, "two"), EntryOf(2, "three")}};
     disk.Enqueue(g.group, p);
     p = {2, std::nullopt, nullptr, 3, {EntryOf(3, "other")}};
     disk.Enqueue(g.group, p);
@@ -91,7 +91,7 @@
   const auto all = disk.Read();
   ASSERT_EQ(all.size(), 1u);
   EXPECT_EQ(all[0].self, 77u);
-  EXPECT_EQ(all[0].log.vote, (log::Vote{3, 9}));
+  EXPECT_EQ(all[0].log.hard_state, (log::HardState{3, 9}));
   EXPECT_EQ(all[0].log.snapshot->data, "state");
   ASSERT_EQ(all[0].log.entries.size(), 2u);
   EXPECT_EQ(all[0].log.entries[0]->data, "two");
