--- a/src/state.h
+++ b/src/state.h
@@ -61,7 +61,7 @@
 
  private:
   static constexpr double kFade = 0.98;                           // per request; about the last fifty count
-  double requests_ = 1 / (1 - kFade), served_ = 1 / (1 - kFade);  // initially 1
+  double requests_ = 1 / (1 - kFade), served_ = 1 / (1 - kFade);  // the share starts at 1
 };
 
 // Deterministic random numbers (splitmix64).
@@ -91,7 +91,7 @@
   double token_credit = 0;      // towards the next token
   bool in_slow_start = false;   // listed in `slow_starters_`
   std::uint64_t last_list = 0;  // number of the last list that named it
-  int bucket = -1;              // in the ranking index; -1: not in the index
+  int bucket = -1;              // bucket in the ranking index; -1: not in the index
   Index bucket_position = 0;
 };
 
