--- a/src/cluster/log/codec.cpp
+++ b/src/cluster/log/codec.cpp
@@ -29,7 +29,7 @@
   Reader(const msgpack::object& o, std::uint32_t least) : pack::ArrayReader(o, least) {
     Require(Number<int>(1, 1 << 20) == kFormatVersion);
   }
-  std::uint64_t Count() { return Number<std::uint64_t>(0, ~std::uint64_t{0}); }
+  std::uint64_t Unsigned() { return Number<std::uint64_t>(0, ~std::uint64_t{0}); }
   bool Flag() { return Next().as<bool>(); }
   std::string Bytes() {
     const msgpack::object& o = Next();
@@ -43,16 +43,16 @@
       const msgpack::object& o = in.Next();
       Require(o.type == msgpack::type::ARRAY && o.via.array.size <= kMaxServers);
       *ids = o.as<std::vector<ServerId>>();
-      // Guards look-ups that rely on the order, and a server that would count twice.
+      // Binary searches rely on the order, and a duplicate would count twice towards a majority.
       Require(std::adjacent_find(ids->begin(), ids->end(), std::greater_equal<>()) == ids->end());
     }
     return m;
   }
-  Entry WholeEntry() { return ToEntry(Next()); }
+  Entry NextEntry() { return ToEntry(Next()); }
   static Entry ToEntry(const msgpack::object& o) {
     Reader in(o, 5);
     Entry e;
-    e.term = in.Count();
+    e.term = in.Unsigned();
     e.kind = in.Enum(EntryKind::kConfiguration);
     e.data = in.Bytes();
     e.configuration = in.Servers();
@@ -63,7 +63,7 @@
 template <typename T, typename Read>
 std::optional<T> Decode(std::string_view bytes, Read read) {
   try {
-    // Guards memory: what no such bytes can have is rejected before room is made for it.
+    // Rejects sizes that no valid message has before memory is allocated for them.
     const msgpack::unpack_limit limit(kMaxMessageEntries, 0, 64, kMaxDataBytes, 0, 6);
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
     return read(whole.get());
@@ -72,7 +72,7 @@
   }
 }
 
-std::string Whole(const msgpack::sbuffer& bytes) { return {bytes.data(), bytes.size()}; }
+std::string ToString(const msgpack::sbuffer& bytes) { return {bytes.data(), bytes.size()}; }
 
 }  // namespace
 
@@ -92,14 +92,14 @@
   Pack(out, m.configuration);
   out.pack(m.offset).pack(m.total_size);
   PackBytes(out, m.chunk);
-  return Whole(bytes);
+  return ToString(bytes);
 }
 
 std::string Encode(const Entry& entry) {
   msgpack::sbuffer bytes;
   Packer out(bytes);
   Pack(out, entry);
-  return Whole(bytes);
+  return ToString(bytes);
 }
 
 std::string Encode(const Snapshot& s) {
@@ -109,7 +109,7 @@
   out.pack(kFormatVersion).pack(s.index).pack(s.term);
   Pack(out, s.configuration);
   PackBytes(out, s.data);
-  return Whole(bytes);
+  return ToString(bytes);
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
@@ -117,26 +117,26 @@
     Reader in(o, 17);
     Message m;
     m.kind = in.Enum(MessageKind::kTimeoutNow);
-    m.from = in.Count();
-    m.to = in.Count();
-    m.term = in.Count();
-    m.index = in.Count();
-    m.log_term = in.Count();
-    m.leader_commit = in.Count();
-    m.match_hint = in.Count();
-    m.read_round = in.Count();
+    m.from = in.Unsigned();
+    m.to = in.Unsigned();
+    m.term = in.Unsigned();
+    m.index = in.Unsigned();
+    m.log_term = in.Unsigned();
+    m.leader_commit = in.Unsigned();
+    m.match_hint = in.Unsigned();
+    m.read_round = in.Unsigned();
     m.accepted = in.Flag();
     m.leadership_transfer = in.Flag();
     const msgpack::object& entries = in.Next();
     Reader::Require(entries.type == msgpack::type::ARRAY);
     for (std::uint32_t i = 0; i < entries.via.array.size; ++i) {
       m.entries.push_back(std::make_shared<Entry>(Reader::ToEntry(entries.via.array.ptr[i])));
-      // A leader's entries never fall back in their terms.
+      // Terms never decrease along a log.
       Reader::Require(i == 0 || m.entries[i]->term >= m.entries[i - 1]->term);
     }
     m.configuration = in.Servers();
-    m.offset = in.Count();
-    m.total_size = in.Count();
+    m.offset = in.Unsigned();
+    m.total_size = in.Unsigned();
     m.chunk = in.Bytes();
     Reader::Require(m.offset <= m.total_size && m.chunk.size() <= m.total_size - m.offset);
     Reader::Require(m.from != 0 && m.to != 0 && m.term <= kMaxTerm && m.index <= kMaxIndex);
--- a/src/cluster/log/codec.h
+++ b/src/cluster/log/codec.h
@@ -1,5 +1,5 @@
-// A log's messages, and what its disk keeps, as MessagePack: arrays of a fixed order, each led by its form's
-// number. What a later form adds stands at the end.
+// MessagePack encoding of the replicated log's messages and stored records: arrays with a fixed order of
+// fields that start with the format version. Later versions append fields at the end.
 #ifndef HERONWAY_CLUSTER_LOG_CODEC_H_
 #define HERONWAY_CLUSTER_LOG_CODEC_H_
 
@@ -12,14 +12,15 @@
 namespace heronway::cluster::log {
 
 inline constexpr int kFormatVersion = 1;
-inline constexpr std::size_t kMaxServers = 32;                  // of a group, of either kind
-inline constexpr std::size_t kMaxMessageEntries = 8'192;        // in a message
-inline constexpr std::size_t kMaxDataBytes = 32 * 1024 * 1024;  // bytes of an entry, or of a snapshot's piece
+inline constexpr std::size_t kMaxServers = 32;                  // voters of a group; also learners
+inline constexpr std::size_t kMaxMessageEntries = 8'192;        // in one message
+inline constexpr std::size_t kMaxDataBytes = 32 * 1024 * 1024;  // of an entry or a snapshot chunk
 
 std::string Encode(const Message& message);
 std::string Encode(const Entry& entry);
 std::string Encode(const Snapshot& snapshot);
-// Nothing where the bytes are not what they should be: cut, of a later form, or with values out of bounds.
+// Decoders return nothing for malformed input: truncated, of a later format version, or with values out of
+// range.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 std::optional<Entry> DecodeEntry(std::string_view bytes);
 std::optional<Snapshot> DecodeSnapshot(std::string_view bytes);
--- a/src/cluster/log/digest.cpp
+++ b/src/cluster/log/digest.cpp
@@ -1,4 +1,4 @@
-// A digest of a server's state, for exploring: two that are equal need to be gone on from once.
+// Digest of a server's state. State space exploration visits states of equal digest only once.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
--- a/src/cluster/log/election.cpp
+++ b/src/cluster/log/election.cpp
@@ -1,4 +1,4 @@
-// Who leads: terms, votes, pre-votes, and a leader that has lost its majority.
+// Leader election: terms, votes, pre-votes, and step-down of a leader that lost contact to its majority.
 #include <algorithm>
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace heronway::cluster::log {
 
-// Apart from the others: two that stand at one moment split the votes.
+// The timeout is random, because servers that start elections at the same time split the votes.
 void Log::ResetElectionTimer() {
   election_deadline_ = now_ + settings_.election_timeout +
                        static_cast<Micros>(random_(static_cast<std::uint32_t>(settings_.election_timeout)));
@@ -24,7 +24,7 @@
 }
 
 void Log::Become(Role role, Term term, ServerId leader) {
-  const bool told = role != role_ || leader != leader_ || term != hard_state_.term;
+  const bool changed = role != role_ || leader != leader_ || term != hard_state_.term;
   if (role_ == Role::kLeader && role != Role::kLeader) ++counters_.stepped_down;
   if (term > hard_state_.term) {
     hard_state_ = HardState{term, 0};
@@ -37,15 +37,15 @@
     term_start_index_ = 0;
     uncommitted_bytes_ = 0;
     transfer_target_ = 0;
-    // Whoever awaiting_reply for a read asks again, of whoever leads then.
+    // Clients of pending reads have to retry at the next leader.
     for (const PendingRead& r : std::exchange(pending_reads_, {}))
       effects_->push_back(Rejected{r.request_id, leader});
   }
-  if (told) effects_->push_back(RoleChanged{role, hard_state_.term, leader});
+  if (changed) effects_->push_back(RoleChanged{role, hard_state_.term, leader});
 }
 
 void Log::BecomeFollower(Term term, ServerId leader) {
-  // Of another leader's log nothing is known to be alike but what is committed.
+  // Only committed entries are known to match the log of a new leader.
   if (term > hard_state_.term || leader_ != leader) {
     verified_index_ = commit_index_;
     read_round_ = 0;
@@ -53,12 +53,13 @@
     incoming_size_ = 0;
   }
   if (leader != leader_) last_leader_contact_ = -1;
-  const bool led = role_ != Role::kFollower;
+  const bool was_not_follower = role_ != Role::kFollower;
   Become(Role::kFollower, term, leader);
-  if (led) ResetElectionTimer();
+  if (was_not_follower) ResetElectionTimer();
 }
 
-// Pre-hard_state (9.6): whoever could not win, and whoever is only cut off, raises nobody's term.
+// Pre-vote (9.6): a server that cannot win, or is only partitioned away, does not raise the others' terms.
+// `real_vote` starts the election proper; `leadership_transfer` marks its requests.
 void Log::StartElection(bool real_vote, bool leadership_transfer) {
   ResetElectionTimer();
   votes_.clear();
@@ -84,7 +85,7 @@
 }
 
 void Log::CountVotes() {
-  // One's own hard_state counts when it is on disk, like any other.
+  // The server's own vote counts only once it is durable, like any other vote.
   if (hard_state_persist_ > persists_done_) return;
   const auto granted = std::count_if(configuration_.voters.begin(), configuration_.voters.end(),
                                      [this](ServerId id) { return votes_.contains(id); });
@@ -99,31 +100,32 @@
   read_round_ = 0;
   next_quorum_check_ = now_ + settings_.election_timeout;
   SetConfiguration(Configuration(configuration_));
-  auto nothing = std::make_shared<Entry>();
-  nothing->term = hard_state_.term;
-  nothing->kind = EntryKind::kNoOp;
+  auto no_op = std::make_shared<Entry>();
+  no_op->term = hard_state_.term;
+  no_op->kind = EntryKind::kNoOp;
   term_start_index_ = last_index() + 1;
-  Append(std::move(nothing));
+  Append(std::move(no_op));
   ReplicateToAll(true);
   AdvanceCommitIndex();
 }
 
 void Log::OnVoteRequest(const Message& m) {
-  const bool pre = m.kind == MessageKind::kPreVote;
-  Message reply = MakeMessage(pre ? MessageKind::kPreVoteReply : MessageKind::kRequestVoteReply, m.from);
-  // A leader that is responders is kept (4.2.3): a server that was removed or cut off must not unseat it.
+  const bool pre_vote = m.kind == MessageKind::kPreVote;
+  Message reply = MakeMessage(pre_vote ? MessageKind::kPreVoteReply : MessageKind::kRequestVoteReply, m.from);
+  // Leader stickiness (4.2.3): a server that was removed or partitioned away must not depose a leader that
+  // others still hear from.
   if (m.term > hard_state_.term && !m.leadership_transfer && HasActiveLeader()) return;
   if (m.term < hard_state_.term) return SendMessage(std::move(reply));
-  if (pre) {
+  if (pre_vote) {
     reply.accepted = m.term > hard_state_.term && IsUpToDate(m);
-    // A accepted is of the term that is asked for; a no tells one's own.
+    // A granted pre-vote carries the requested term; a denied one carries the receiver's term.
     if (reply.accepted) reply.term = m.term;
     return SendMessage(std::move(reply));
   }
   if (m.term > hard_state_.term) BecomeFollower(m.term, 0);
   reply.term = hard_state_.term;
-  const bool free = role_ == Role::kFollower || role_ == Role::kPreCandidate;
-  if ((hard_state_.voted_for == 0 || hard_state_.voted_for == m.from) && free && leader_ == 0 &&
+  const bool may_vote = role_ == Role::kFollower || role_ == Role::kPreCandidate;
+  if ((hard_state_.voted_for == 0 || hard_state_.voted_for == m.from) && may_vote && leader_ == 0 &&
       IsUpToDate(m)) {
     if (role_ != Role::kFollower) BecomeFollower(hard_state_.term, 0);
     if (hard_state_.voted_for == 0) {
@@ -137,15 +139,15 @@
 }
 
 void Log::OnVoteReply(const Message& m) {
-  const bool pre = m.kind == MessageKind::kPreVoteReply;
-  if (m.term > hard_state_.term && !(pre && m.accepted)) return BecomeFollower(m.term, 0);
-  if (!m.accepted || role_ != (pre ? Role::kPreCandidate : Role::kCandidate)) return;
-  if (m.term != hard_state_.term + (pre ? 1 : 0)) return;
+  const bool pre_vote = m.kind == MessageKind::kPreVoteReply;
+  if (m.term > hard_state_.term && !(pre_vote && m.accepted)) return BecomeFollower(m.term, 0);
+  if (!m.accepted || role_ != (pre_vote ? Role::kPreCandidate : Role::kCandidate)) return;
+  if (m.term != hard_state_.term + (pre_vote ? 1 : 0)) return;
   votes_.insert(m.from);
   CountVotes();
 }
 
-// A leader that a majority no longer answers (6.2) stands down: whoever asks it is told to go elsewhere.
+// A leader without contact to a majority steps down (6.2), so that clients turn to another server.
 void Log::CheckQuorum() {
   next_quorum_check_ = now_ + settings_.election_timeout;
   std::size_t responders = IsVoter(self_) ? 1 : 0;
--- a/src/cluster/log/log.cpp
+++ b/src/cluster/log/log.cpp
@@ -1,5 +1,5 @@
-// Events, the disk, proposals, who keeps copies, compaction. Elections and replication have files of their
-// own.
+// Event dispatch, proposals, membership changes, reads, persistence, and compaction. Elections and replication
+// are in election.cpp and replication.cpp.
 #include "src/cluster/log/log.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
   durable_index_ = last_index();
   LoadConfigurationFromLog();
   ResetElectionTimer();
-  // Alone, it awaiting_reply for nobody's word.
+  // The only voter needs no other votes and starts an election at once.
   if (configuration_.voters.size() == 1 && IsVoter(self_)) election_deadline_ = now;
 }
 
@@ -59,8 +59,7 @@
     return;
   }
   if (now_ < election_deadline_) return;
-  // Only a voter stands: a learner, and a server that is not of the group (yet, or any more), would disturb
-  // the others for nothing.
+  // Learners and servers outside the group cannot win; their elections would only disrupt the others.
   if (!IsVoter(self_)) return ResetElectionTimer();
   StartElection(false, false);
 }
@@ -78,11 +77,10 @@
     case MessageKind::kAppendEntries:
     case MessageKind::kInstallSnapshot:
       if (m.term < hard_state_.term) {
-        // Guards against a leader that goes on for ever beside a server whose term is higher: it learns of
-        // it.
-        Message no = MakeMessage(MessageKind::kAppendEntriesReply, m.from);
-        no.index = m.index;
-        return SendMessage(std::move(no));
+        // Tells the stale leader the higher term; otherwise it would keep sending to this server forever.
+        Message rejection = MakeMessage(MessageKind::kAppendEntriesReply, m.from);
+        rejection.index = m.index;
+        return SendMessage(std::move(rejection));
       }
       if (m.term > hard_state_.term || role_ != Role::kFollower || leader_ != m.from)
         BecomeFollower(m.term, m.from);
@@ -104,8 +102,6 @@
   }
 }
 
-// ---- proposals
-
 void Log::On(Propose& e) {
   if (role_ != Role::kLeader || transfer_target_ != 0 ||
       (uncommitted_bytes_ > 0 && uncommitted_bytes_ + e.data.size() > settings_.max_uncommitted_bytes)) {
@@ -118,38 +114,39 @@
   entry->data = std::move(e.data);
   effects_->push_back(Proposed{e.request_id, last_index() + 1, hard_state_.term});
   Append(std::move(entry));
-  AdvanceCommitIndex();  // a group of one, with its disk ahead
+  AdvanceCommitIndex();  // the only voter may have nothing to wait for
 }
 
-// One change at a time, each of one server, so that any two majorities meet; and none before an entry of the
-// leader's own term is committed (the correction of 2015: else two leaders' changes may not have met).
+// Changes one server at a time, so that the majorities before and after overlap. No change is allowed before
+// an entry of the leader's own term is committed (the correction of 2015): otherwise the changes of two
+// leaders may use majorities that do not overlap.
 bool Log::ChangeAllowed(const ChangeConfiguration& e, Configuration& next) const {
   if (role_ != Role::kLeader || transfer_target_ != 0 || e.server == 0) return false;
   if (configuration_index_ > commit_index_ || term_start_index_ == 0 || term_start_index_ > commit_index_)
     return false;
   next = configuration_;
   const auto voter = std::lower_bound(next.voters.begin(), next.voters.end(), e.server);
-  const bool votes = voter != next.voters.end() && *voter == e.server;
+  const bool is_voter = voter != next.voters.end() && *voter == e.server;
   const auto learner = std::lower_bound(next.learners.begin(), next.learners.end(), e.server);
-  const bool learns = learner != next.learners.end() && *learner == e.server;
+  const bool is_learner = learner != next.learners.end() && *learner == e.server;
   switch (e.change) {
     case ConfigurationChange::kAddLearner:
-      if (votes || learns) return false;
+      if (is_voter || is_learner) return false;
       next.learners.insert(learner, e.server);
       return true;
     case ConfigurationChange::kPromote: {
-      // Guards the majority: a voter that is far behind would hold up every leader_commit until it has caught up.
+      // A voter that is far behind can delay every commit until it has caught up.
       const auto it = progress_.find(e.server);
-      if (!learns || it == progress_.end() || it->second.match_index < commit_index_) return false;
+      if (!is_learner || it == progress_.end() || it->second.match_index < commit_index_) return false;
       next.learners.erase(learner);
       next.voters.insert(voter, e.server);
       return true;
     }
     case ConfigurationChange::kRemove:
-      if (votes && next.voters.size() == 1) return false;
-      if (votes) next.voters.erase(voter);
-      if (learns) next.learners.erase(learner);
-      return votes || learns;
+      if (is_voter && next.voters.size() == 1) return false;
+      if (is_voter) next.voters.erase(voter);
+      if (is_learner) next.learners.erase(learner);
+      return is_voter || is_learner;
   }
   return false;
 }
@@ -177,8 +174,9 @@
   AdvanceTransfer();
 }
 
-// ReadIndex index: what is committed when a majority still takes this server for its leader. Needs an entry of its
-// own term committed: before, it may not know of the last ones that the leader before it committed.
+// The read is served at the current commit index once a majority has confirmed the leader. Requires a
+// committed entry of the leader's own term: before that, it may not know the last entries that the previous
+// leader committed.
 void Log::On(ReadIndex& e) {
   if (role_ != Role::kLeader || term_start_index_ == 0 || commit_index_ < term_start_index_) {
     ++counters_.rejected;
@@ -189,10 +187,8 @@
   CompleteReads();
 }
 
-// ---- the disk
-
-// Has the disk keep the hard_state, the entries from `from` on, or a snapshot. Messages that rest on the hard_state wait
-// for it in SendMessage; those that say what is on disk are made when it is.
+// Requests writing of the hard state, the entries from `from` on, or a snapshot. Messages that depend on the
+// hard state are delayed in SendMessage; acknowledgements of entries are created once these are durable.
 void Log::RequestPersist(bool hard_state, Index from, SnapshotPtr snapshot) {
   Persist p;
   p.number = ++persists_requested_;
@@ -225,7 +221,7 @@
   }
   if (snapshot_to_restore_ != nullptr && restore_persist_ <= persists_done_) {
     const SnapshotPtr snapshot = std::exchange(snapshot_to_restore_, nullptr);
-    last_applied_ = snapshot->index;  // nothing is applied while it is on its way
+    last_applied_ = snapshot->index;  // no entries were applied while it was pending
     effects_->push_back(Restore{snapshot});
     durable_index_ = std::max(durable_index_, snapshot->index);
     if (role_ == Role::kFollower && leader_ != 0)
@@ -239,7 +235,7 @@
 }
 
 void Log::SendMessage(Message m) {
-  // A term that is forgotten in a crash must not have been told to anybody.
+  // No peer may learn of a term or vote that a crash could still erase.
   if (hard_state_persist_ > persists_done_ && m.term >= hard_state_.term) {
     delayed_messages_.push_back({hard_state_persist_, std::move(m)});
     return;
@@ -257,8 +253,6 @@
   return m;
 }
 
-// ---- the log
-
 void Log::Append(EntryPtr entry) {
   uncommitted_bytes_ += entry->data.size();
   const bool configuration = entry->kind == EntryKind::kConfiguration;
@@ -278,7 +272,7 @@
   if (configuration_index_ >= index) LoadConfigurationFromLog();
 }
 
-// The newest that the log names; else the snapshot's.
+// Uses the last configuration entry of the log, otherwise the snapshot's configuration.
 void Log::LoadConfigurationFromLog() {
   for (Index i = last_index(); i > base_index_; --i) {
     if (At(i).kind != EntryKind::kConfiguration) continue;
@@ -313,7 +307,8 @@
   return std::binary_search(configuration_.voters.begin(), configuration_.voters.end(), id);
 }
 
-// The snapshot stands for the entries up to its index; some are kept behind it for those that lag a little.
+// The snapshot replaces the entries up to its index. The last ones before it are kept, so that followers
+// slightly behind do not need the snapshot.
 void Log::On(Compact& e) {
   if (e.index <= (snapshot_ == nullptr ? 0 : snapshot_->index) || e.index > last_applied_) return;
   const auto term = TermAt(e.index);
--- a/src/cluster/log/replication.cpp
+++ b/src/cluster/log/replication.cpp
@@ -1,4 +1,4 @@
-// Entries and snapshots to followers, what is committed, reads, and the handing over of leadership.
+// Replication of entries and snapshots to followers, commit index, reads, and leadership transfer.
 #include <algorithm>
 #include <utility>
 
@@ -7,19 +7,17 @@
 namespace heronway::cluster::log {
 namespace {
 
-// What an entry takes beyond its data, about; bounds are kept by it.
+// Approximate overhead of an entry beyond its data; counted towards the size limits of messages.
 constexpr std::size_t kEntryBytes = 32;
 
 }  // namespace
 
-// ---- a leader's side
-
 void Log::ReplicateToAll(bool heartbeat) {
   if (heartbeat) next_heartbeat_ = now_ + settings_.heartbeat_interval;
   for (auto& [id, p] : progress_) Replicate(id, p, heartbeat);
 }
 
-// Sends what the follower does not have and the bounds allow; a heartbeat is sent whatever they say.
+// Sends the entries that the follower lacks, within the limits. A heartbeat is sent regardless of the limits.
 void Log::Replicate(ServerId to, Progress& p, bool heartbeat) {
   if (p.state != ProgressState::kSnapshot && !TermAt(p.next_index - 1)) {
     p.state = ProgressState::kSnapshot;
@@ -40,21 +38,21 @@
   }
   bool sent = false;
   for (;;) {
-    const bool more = p.state == ProgressState::kReplicate && p.next_index <= last_index() &&
-                      p.inflight_bytes < settings_.max_inflight_bytes;
-    if (!more && (sent || (p.state == ProgressState::kReplicate && !heartbeat))) return;
+    const bool has_entries = p.state == ProgressState::kReplicate && p.next_index <= last_index() &&
+                             p.inflight_bytes < settings_.max_inflight_bytes;
+    if (!has_entries && (sent || (p.state == ProgressState::kReplicate && !heartbeat))) return;
     Message m = MakeMessage(MessageKind::kAppendEntries, to);
     m.index = p.next_index - 1;
     m.log_term = *TermAt(m.index);
     m.leader_commit = commit_index_;
     m.read_round = read_round_;
     std::size_t bytes = 0;
-    while (more && p.next_index <= last_index() && bytes < settings_.max_message_bytes) {
+    while (has_entries && p.next_index <= last_index() && bytes < settings_.max_message_bytes) {
       m.entries.push_back(entries_[p.next_index - base_index_ - 1]);
       bytes += m.entries.back()->data.size() + kEntryBytes;
       ++p.next_index;
     }
-    if (more) {
+    if (has_entries) {
       p.inflight.emplace_back(p.next_index - 1, bytes);
       p.inflight_bytes += bytes;
     }
@@ -80,7 +78,7 @@
   Progress& p = progress_.at(m.from);
   p.read_round = std::max(p.read_round, m.read_round);
   if (!m.accepted) {
-    // Guards against old replies: what is known to be on its disk is not doubted.
+    // Ignores stale rejections: entries up to the match index are durable on the follower.
     if (p.state == ProgressState::kSnapshot || m.index <= p.match_index) return;
     p.state = ProgressState::kProbe;
     p.next_index =
@@ -106,7 +104,7 @@
   }
   const ServerId from = m.from;
   AdvanceCommitIndex();
-  if (role_ != Role::kLeader) return;  // it has taken itself out of the group
+  if (role_ != Role::kLeader) return;  // it committed its own removal from the group
   CompleteReads();
   AdvanceTransfer();
   if (const auto it = progress_.find(from); it != progress_.end()) Replicate(from, it->second, false);
@@ -119,18 +117,18 @@
   SendSnapshotChunk(m.from, p);
 }
 
-// On the disks of a majority, and of this leader's own term (3.6.2: an older entry is committed only with one
-// of the leader's own behind it).
+// Commits entries of the leader's own term that are durable on a majority. Entries of older terms are
+// committed only together with a later one of the leader's term (3.6.2).
 void Log::AdvanceCommitIndex() {
   if (role_ != Role::kLeader) return;
-  std::vector<Index> on_disk;
+  std::vector<Index> durable;
   for (const ServerId id : configuration_.voters) {
     const auto it = progress_.find(id);
-    on_disk.push_back(id == self_ ? durable_index_ : it == progress_.end() ? 0 : it->second.match_index);
+    durable.push_back(id == self_ ? durable_index_ : it == progress_.end() ? 0 : it->second.match_index);
   }
-  if (on_disk.empty()) return;
-  std::sort(on_disk.begin(), on_disk.end(), std::greater<>());
-  const Index index = on_disk[Majority() - 1];
+  if (durable.empty()) return;
+  std::sort(durable.begin(), durable.end(), std::greater<>());
+  const Index index = durable[Majority() - 1];
   if (index <= commit_index_ || TermAt(index) != hard_state_.term) return;
   CommitTo(index);
   if (!IsVoter(self_) && configuration_index_ <= commit_index_) BecomeFollower(hard_state_.term, 0);
@@ -162,8 +160,8 @@
   });
 }
 
-// Nothing is taken meanwhile, so that the other can have it all; where it does not lead in time, this one
-// goes on.
+// Proposals are rejected during a transfer, so that the target can catch up. If the target has not become the
+// leader before the deadline, this server continues to lead.
 void Log::AdvanceTransfer() {
   if (transfer_target_ == 0) return;
   const auto it = progress_.find(transfer_target_);
@@ -176,8 +174,6 @@
   SendMessage(MakeMessage(MessageKind::kTimeoutNow, transfer_target_));
 }
 
-// ---- a follower's side
-
 void Log::SendAppendReply(bool accepted, Index index, Index match_hint) {
   Message m = MakeMessage(MessageKind::kAppendEntriesReply, leader_);
   m.accepted = accepted;
@@ -189,7 +185,7 @@
 
 void Log::OnAppendEntries(const Message& m) {
   read_round_ = std::max(read_round_, m.read_round);
-  // Up to `commit_index_` all logs are alike: what lies before it is passed over.
+  // All logs are identical up to `commit_index_`, so earlier entries are skipped.
   Index at = m.index;
   std::size_t n = 0;
   if (at < commit_index_) {
@@ -197,11 +193,11 @@
     at += n;
     if (at < commit_index_) return SendAppendReply(true, std::min(verified_index_, durable_index_), 0);
   } else if (TermAt(at) != m.log_term) {
-    // The leader goes on before all of a term that differs: one message a term, not an entry.
+    // The hint skips all entries of the conflicting term: one message for each term instead of each entry.
     Index match_hint = std::min(at, last_index());
     if (at <= last_index()) {
-      const Term differs = *TermAt(at);
-      while (match_hint > commit_index_ && TermAt(match_hint) == differs) --match_hint;
+      const Term conflicting = *TermAt(at);
+      while (match_hint > commit_index_ && TermAt(match_hint) == conflicting) --match_hint;
     }
     return SendAppendReply(false, at, std::max(match_hint, commit_index_));
   }
@@ -236,7 +232,7 @@
     incoming_snapshot_ = Snapshot{m.index, m.log_term, m.configuration, {}};
     incoming_size_ = m.total_size;
   }
-  // Guards against pieces that come twice, late or out of order: only the next one is taken.
+  // Only the next chunk is accepted: chunks may be duplicated, delayed or reordered.
   if (m.offset == incoming_snapshot_.data.size() && m.chunk.size() <= m.total_size - m.offset)
     incoming_snapshot_.data += m.chunk;
   if (incoming_snapshot_.data.size() < incoming_size_) {
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr const char* kTextPattern = "%Y-%m-%dT%H:%M:%S.%eZ %l %v";
-// The message is the rest of the object, without its opening brace.
+// The message (%v) is the rest of the JSON object, without its opening brace.
 constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v)";
 
 spdlog::level::level_enum ToSpdlog(Level level) {
@@ -40,7 +40,8 @@
   return logger;
 }
 
-// Guards the line: a value with a blank, a quote or a line's end in it is quoted and its odd bytes escaped.
+// Quotes a value that contains spaces, quotes or control characters, and escapes them, so that values cannot
+// break or forge lines.
 void AppendQuoted(fmt::memory_buffer& line, std::string_view text) {
   const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
     return c > 0x20 && c < 0x7f && c != '"' && c != '\\';
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,9 +1,9 @@
-// The program's logging: events with fields, one line each on standard error, through spdlog.
+// Structured logging through spdlog: each event with its fields is one line on standard error.
 //
 //   text  2026-12-01T09:30:00.123Z info storm from=rising to=storm reason=repeats ...
 //   json  {"time":"2026-12-01T09:30:00.123Z","level":"info","event":"storm","from":"rising", ...}
 //
-// Events and their fields are listed in docs/operators-limits.md. The loop's thread alone logs.
+// Events and their fields are listed in docs/operators-limits.md. Only the event loop's thread may log.
 #ifndef HERONWAY_LOG_LOG_H_
 #define HERONWAY_LOG_LOG_H_
 
@@ -21,10 +21,11 @@
 
 struct Settings {
   LineFormat format = LineFormat::kText;
-  Level level = Level::kInfo;  // what is under it is left out
-  bool connections = true;     // one line for each connection that ends
+  Level level = Level::kInfo;  // events below this level are dropped
+  bool connections = true;     // log each connection that ends
 };
 
+// One key and value of an event.
 struct Field {
   using Value = std::variant<std::string_view, std::uint64_t, std::int64_t, double>;
   template <typename T>
@@ -37,19 +38,20 @@
     } else if constexpr (std::is_integral_v<T>) {
       value = static_cast<std::int64_t>(value_);
     } else {
-      value = std::string_view(value_);  // must outlive the call only
+      value = std::string_view(value_);  // not copied: has to stay valid during the call
     }
   }
   std::string_view key;
   Value value;
-  bool value_only = false;  // in text, the value alone
+  bool value_only = false;  // the text format prints the value without the key
 };
 
-// In force from then on; before, text at kInfo.
+// Applies to all later events. Until the first call the format is text and the level kInfo.
 void Configure(const Settings& settings);
 bool Enabled(Level level);
+// Writes one line if `level` is enabled. `name` is the event's name.
 void Event(Level level, std::string_view name, std::initializer_list<Field> fields);
-// What a line looks like without time and level; for tests.
+// The line of an event without time and level; for tests.
 std::string Format(LineFormat format, std::string_view name, std::initializer_list<Field> fields);
 
 }  // namespace heronway::log
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -49,7 +49,7 @@
   return value;
 }
 
-// A task that is pushed out was taken from the target unasked; one that is killed was called off.
+// An evicted or lost task was taken away from its target without a request; a killed one was cancelled.
 std::optional<Result> OutcomeOf(std::uint64_t event) {
   switch (event) {
     case kEvict:
@@ -81,7 +81,7 @@
   ParseNumber(cells[kJob], "the job", number);
   ParseNumber(cells[kIndex], "the task index", number);
   if (event > kUpdateRunning) ThrowAtLine(number, "the event type is not one of 0 to 8");
-  // The trace marks what came after its end with the largest time; it has no place on the clock.
+  // The trace marks events after its end with the largest timestamp, which is not a time.
   const bool has_time = stamp < (1ULL << 62);
   const auto now = has_time ? static_cast<core::Micros>(stamp) : summary_.last;
   if (now < summary_.last) ThrowAtLine(number, "the time goes backwards");
@@ -98,7 +98,8 @@
     if (!cells[kMachine].empty()) targets_[std::string(cells[kMachine])] = true;
     ++summary_.hops;
     const auto [it, inserted] = open_tasks_.try_emplace(task);
-    if (!inserted && !it->second.hopped) {  // of one submitted before the trace began nobody knows the wait
+    if (!inserted &&
+        !it->second.hopped) {  // the wait is unknown if the task was submitted before the trace began
       const double wait = static_cast<double>(now - it->second.arrived) / 1e6;
       total_wait_s_ += wait;
       ++waits_counted_;
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -1,5 +1,6 @@
-// Reads a public cluster trace (the task events of Google's 2011 trace, CSV) in the core's terms: a SUBMIT is
-// a request that arrives, a SCHEDULE a hop, what ends it an outcome. Streaming; it sends nothing.
+// Summarises a public cluster trace (the task events of Google's 2011 trace, CSV) in the core's terms: SUBMIT
+// is the arrival of a request, SCHEDULE a hop, and the event that ends a task its outcome. The trace is read
+// as a stream, and no requests are sent.
 #ifndef HERONWAY_TRACE_TRACE_H_
 #define HERONWAY_TRACE_TRACE_H_
 
@@ -14,7 +15,7 @@
 
 namespace heronway::trace {
 
-// `what()` names the line and the fault.
+// A malformed or unreadable trace; `what()` names the line and the fault.
 class TraceError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -26,14 +27,15 @@
   std::array<std::uint64_t, 8> outcomes{};  // by pebblenotch::Result
   std::array<std::uint64_t, 4> by_class{};  // arrivals by scheduling class, 0 to 3
   std::uint64_t waiting = 0, running = 0;   // at the end of the trace
-  std::uint64_t targets = 0;                // machines that took a hop
+  std::uint64_t targets = 0;                // machines with at least one hop
   core::Micros first = -1, last = 0;
   double longest_wait_s = 0, mean_wait_s = 0;  // from arrival to the first hop
 };
 
-// One line of the trace; `number` is for the message. Throws TraceError.
+// Reads a trace line by line.
 class Reader {
  public:
+  // Adds one line; `number` is its line number, for error messages. Throws TraceError.
   void AddLine(const std::string& line, std::uint64_t number);
   Summary Finish();
 
@@ -45,11 +47,13 @@
   Summary summary_;
   double total_wait_s_ = 0;
   std::uint64_t waits_counted_ = 0;
-  std::unordered_map<std::string, Task> open_tasks_;  // tasks that wait or run, by job and index
+  std::unordered_map<std::string, Task> open_tasks_;  // waiting and running tasks, by "job/index"
   std::unordered_map<std::string, bool> targets_;
 };
 
+// Reads a whole trace. Throws TraceError.
 Summary Read(std::istream& in);
+// Multi-line text for the terminal.
 std::string ToText(const Summary& summary);
 
 }  // namespace heronway::trace
