--- a/bench/cluster/log_cluster.cpp
+++ b/bench/cluster/log_cluster.cpp
@@ -15,7 +15,7 @@
 std::string Pack(const SimulatedCluster::StateMachine& m) {
   std::string bytes(sizeof m, '\0');
   std::memcpy(bytes.data(), &m, sizeof m);
-  return bytes + std::string(100, 'x');  // more than a piece, where pieces are small
+  return bytes + std::string(100, 'x');  // larger than one chunk where chunks are small
 }
 SimulatedCluster::StateMachine Unpack(const std::string& bytes) {
   SimulatedCluster::StateMachine m;
@@ -27,12 +27,12 @@
 
 SimulatedCluster::SimulatedCluster(const Settings& settings, int servers, int voters, std::uint64_t seed)
     : settings_(settings), seed_(seed) {
-  auto beginning = std::make_shared<Snapshot>();
-  for (int i = 0; i < voters; ++i) beginning->configuration.voters.push_back(static_cast<ServerId>(i) + 1);
+  auto initial = std::make_shared<Snapshot>();
+  for (int i = 0; i < voters; ++i) initial->configuration.voters.push_back(static_cast<ServerId>(i) + 1);
   for (int i = 0; i < servers; ++i) {
     const auto id = static_cast<ServerId>(i) + 1;
     PersistentState disk;
-    if (i < voters) disk.snapshot = beginning;
+    if (i < voters) disk.snapshot = initial;
     servers_.push_back(Server{id, true, Log(settings_, id, disk, seed_ + id, now_), disk, {}, {}, {}, 1});
   }
 }
@@ -76,15 +76,16 @@
   if (p.hard_state) s.disk.hard_state = *p.hard_state;
   const auto base = [&s] { return s.disk.snapshot == nullptr ? 0 : s.disk.snapshot->index; };
   if (p.snapshot != nullptr) {
-    const Index gone = std::min<Index>(p.snapshot->index - base(), s.disk.entries.size());
-    s.disk.entries.erase(s.disk.entries.begin(), s.disk.entries.begin() + static_cast<std::ptrdiff_t>(gone));
+    const Index covered = std::min<Index>(p.snapshot->index - base(), s.disk.entries.size());
+    s.disk.entries.erase(s.disk.entries.begin(),
+                         s.disk.entries.begin() + static_cast<std::ptrdiff_t>(covered));
     s.disk.snapshot = p.snapshot;
     s.durable_machine = Unpack(p.snapshot->data);
   }
   if (p.from != 0) {
-    // What a snapshot stands for needs no place; a hole would be a fault of the log's.
+    // Entries that the snapshot covers need not be stored. A gap is an error of the log.
     const Index first = std::max(p.from, base() + 1);
-    if (first > base() + s.disk.entries.size() + 1) ReportViolation("a hole on the disk");
+    if (first > base() + s.disk.entries.size() + 1) ReportViolation("a gap between entries on the disk");
     s.disk.entries.resize(std::min<std::size_t>(s.disk.entries.size(), first - base() - 1));
     for (std::size_t i = first - p.from; i < p.entries.size(); ++i) s.disk.entries.push_back(p.entries[i]);
   }
@@ -110,7 +111,7 @@
   Crash(server);
   s.disk = PersistentState{};
   s.durable_machine = StateMachine{};
-  s.id += 100;  // another disk is another server
+  s.id += 100;  // a new disk makes a new server
 }
 
 std::uint64_t SimulatedCluster::Propose(int server, const std::string& data) {
@@ -135,8 +136,8 @@
     ReportViolation("applied out of order at " + std::to_string(index));
   s.machine.applied_index = index;
   s.machine.history_hash = Mix(s.machine.history_hash, digest);
-  const auto [chain, one] = history_hashes_.try_emplace(index, s.machine.history_hash);
-  if (!one && chain->second != s.machine.history_hash)
+  const auto [hash, inserted] = history_hashes_.try_emplace(index, s.machine.history_hash);
+  if (!inserted && hash->second != s.machine.history_hash)
     ReportViolation("state machines differ at " + std::to_string(index));
   if (first) history_digest_ = Mix(history_digest_ ^ index, digest);
 }
@@ -155,44 +156,44 @@
   } else if (auto* restore = std::get_if<Restore>(&effect)) {
     s.machine = Unpack(restore->snapshot->data);
     ++snapshots_restored;
-    const auto chain = history_hashes_.find(s.machine.applied_index);
-    if (chain == history_hashes_.end() || chain->second != s.machine.history_hash)
-      ReportViolation("a snapshot of what was never chosen");
+    const auto hash = history_hashes_.find(s.machine.applied_index);
+    if (hash == history_hashes_.end() || hash->second != s.machine.history_hash)
+      ReportViolation("a snapshot of a state that was never committed");
   } else if (auto* role = std::get_if<RoleChanged>(&effect)) {
     if (role->role != Role::kLeader) return;
     const auto [it, first] = leaders_.try_emplace(role->term, s.id);
     if (first) history_digest_ = Mix(history_digest_ ^ role->term, s.id);
     if (!first && it->second != s.id) ReportViolation("two leaders in term " + std::to_string(role->term));
-    // Leader completeness: all that was ever chosen is in its log.
+    // Leader completeness: a leader's log contains all committed entries.
     for (const auto& [index, digest] : committed_) {
       if (index < s.log.first_index()) continue;
       if (index > s.log.last_index() || DigestOf(s.log.At(index)) != digest)
         ReportViolation("a leader of term " + std::to_string(role->term) + " lacks entry " +
                         std::to_string(index));
     }
-  } else if (auto* took = std::get_if<Proposed>(&effect)) {
-    proposed[took->request_id] = took->index;
-  } else if (auto* no = std::get_if<Rejected>(&effect)) {
-    rejected.insert(no->request_id);
+  } else if (auto* appended = std::get_if<Proposed>(&effect)) {
+    proposed[appended->request_id] = appended->index;
+  } else if (auto* rejection = std::get_if<Rejected>(&effect)) {
+    rejected.insert(rejection->request_id);
   } else if (auto* read = std::get_if<ReadReady>(&effect)) {
     reads_ready[read->request_id] = read->index;
   }
 }
 
-// Log matching, of this server with each other: where two hold an entry of one index and term, all before it
-// are alike.
+// Log matching, between this server and each other one: if two logs contain an entry with the same index and
+// term, all entries before it are identical.
 void SimulatedCluster::CheckLogMatching(const Server& s) {
-  if (s.log.commit_index() > s.log.last_index()) ReportViolation("more is committed than there is");
+  if (s.log.commit_index() > s.log.last_index()) ReportViolation("the commit index is beyond the log");
   for (const Server& o : servers_) {
     if (o.id == s.id || !o.up) continue;
-    bool alike = false;
+    bool matching = false;
     const Index from = std::max(s.log.first_index(), o.log.first_index());
     for (Index i = std::min(s.log.last_index(), o.log.last_index()); i >= from && i > 0; --i) {
       const Entry &a = s.log.At(i), &b = o.log.At(i);
       if (a.term == b.term && DigestOf(a) != DigestOf(b))
-        ReportViolation("two entries of one index and term");
-      if (alike && a.term != b.term) ReportViolation("logs are alike at an entry and differ before it");
-      alike = alike || a.term == b.term;
+        ReportViolation("two different entries with the same index and term");
+      if (matching && a.term != b.term) ReportViolation("logs have a common entry and differ before it");
+      matching = matching || a.term == b.term;
     }
   }
 }
@@ -205,10 +206,10 @@
     sum = Mix(sum, s.disk.entries.size() << 8 | s.pending_writes.size());
     for (const EntryPtr& e : s.disk.entries) sum = Mix(sum, DigestOf(*e));
   }
-  // A set: the order in which they were sent decides nothing.
-  std::uint64_t of_pool = 0;
-  for (const Message& m : in_flight_) of_pool += DigestOf(m);
-  return Mix(sum, of_pool);
+  // A sum, because the order of messages in flight does not affect behaviour.
+  std::uint64_t messages_sum = 0;
+  for (const Message& m : in_flight_) messages_sum += DigestOf(m);
+  return Mix(sum, messages_sum);
 }
 
 }  // namespace heronway::cluster::log
--- a/bench/cluster/log_schedules.cpp
+++ b/bench/cluster/log_schedules.cpp
@@ -18,6 +18,7 @@
   return s;
 }
 
+// Position of the leader of the highest term; -1 if there is none.
 int LeaderOf(const SimulatedCluster& g) {
   int found = -1;
   for (std::size_t i = 0; i < g.servers().size(); ++i) {
@@ -35,7 +36,8 @@
   }
 }
 
-// Everything arrives and is synced, ticks come, until nothing is on its way.
+// In each round, ticks all servers and then delivers and syncs everything until no message is in flight.
+// Messages for which `delivers` is false are dropped.
 void Settle(SimulatedCluster& g, int rounds, const std::function<bool(const Message&)>& delivers = {}) {
   for (int n = 0; n < rounds && g.violation().empty(); ++n) {
     g.AdvanceTime(50 * kMs);
@@ -64,7 +66,7 @@
   }
 
  private:
-  // What is left of the budget belongs to the state: one that came more cheaply may go further.
+  // The remaining budget is part of the state: with more budget left, more states can be reached from it.
   static std::uint64_t BudgetKey(const ExplorationBudget& b, int depth) {
     std::uint64_t sum = static_cast<std::uint64_t>(depth);
     for (const int n : {b.proposals, b.timeouts, b.heartbeats, b.crashes, b.duplicates, b.compactions})
@@ -87,7 +89,7 @@
       result_.complete = false;
       return;
     }
-    // Depth is no part of it where it was reached with as much left: only deeper visits are spared.
+    // Depth is not part of the key: a state is visited again only with more depth left than before.
     const std::uint64_t key = g.Digest() ^ BudgetKey(left, 0) * 0x9e3779b97f4a7c15ULL;
     const auto [it, fresh] = seen_.try_emplace(key, depth);
     if (!fresh && it->second >= depth) return;
@@ -174,43 +176,43 @@
   }
   void Step() {
     ++result_.steps;
-    const std::uint32_t die = RandomBelow(1000);
-    if (die < 620) {
+    const std::uint32_t step = RandomBelow(1000);
+    if (step < 620) {
       if (cluster_.messages_in_flight().empty()) return;
-      // Mostly in order, as a link keeps it; now and then any, duplicates, or lost.
+      // Mostly in order, as on a link; occasionally reordered, duplicated or lost.
       const std::size_t m = RandomBelow(10) == 0 ? RandomBelow(cluster_.messages_in_flight().size()) : 0;
       if (!Connected(cluster_.messages_in_flight()[m]) || RandomBelow(30) == 0) return cluster_.Drop(m);
       return cluster_.Deliver(m, RandomBelow(40) == 0);
     }
-    if (die < 780) return cluster_.Sync(RandomServer());
-    if (die < 890) {
+    if (step < 780) return cluster_.Sync(RandomServer());
+    if (step < 890) {
       cluster_.AdvanceTime(static_cast<Micros>(RandomBelow(60'000)));
       return cluster_.Tick(RandomServer());
     }
-    if (die < 940) {
+    if (step < 940) {
       const int leader = LeaderOf(cluster_);
       cluster_.Propose(leader >= 0 && RandomBelow(8) != 0 ? leader : RandomServer(),
                        "v" + std::to_string(result_.steps));
       return;
     }
-    if (die < 946) return cluster_.HandleEvent(RandomServer(), ReadIndex{1'000'000 + result_.steps});
-    if (die < 952 && options_.snapshots) return cluster_.CompactApplied(RandomServer());
-    if (die < 955) {  // cut in two, or healed
+    if (step < 946) return cluster_.HandleEvent(RandomServer(), ReadIndex{1'000'000 + result_.steps});
+    if (step < 952 && options_.snapshots) return cluster_.CompactApplied(RandomServer());
+    if (step < 955) {  // partition the network in two, or heal it
       ++result_.partitions;
       const bool heal = RandomBelow(3) != 0;
       for (auto& p : partition_) p = heal ? 0 : static_cast<int>(RandomBelow(2));
       return;
     }
-    if (die < 958) {
+    if (step < 958) {
       const int s = RandomServer();
       if (!cluster_.servers()[static_cast<std::size_t>(s)].up) return cluster_.Start(s);
       ++result_.crashes;
       return cluster_.Crash(s);
     }
-    if (die < 976) return cluster_.Start(RandomServer());
-    if (die < 980 && options_.configuration_changes) return ChangeRandomServer();
-    if (die == 980 && options_.disks_lost) return LoseDiskOfNonMember();
-    if (die < 984) {
+    if (step < 976) return cluster_.Start(RandomServer());
+    if (step < 980 && options_.configuration_changes) return ChangeRandomServer();
+    if (step == 980 && options_.disks_lost) return LoseDiskOfNonMember();
+    if (step < 984) {
       const int leader = LeaderOf(cluster_);
       if (leader >= 0)
         cluster_.HandleEvent(
@@ -228,7 +230,8 @@
     ++result_.changes;
     cluster_.HandleEvent(leader, c);
   }
-  // One disk at a time, and never one of a majority's need: what is lost with more is beyond any log.
+  // Only a server that is a voter in no configuration loses its disk: no log can survive the loss of disks
+  // that a majority depends on.
   void LoseDiskOfNonMember() {
     const int s = RandomServer();
     const int leader = LeaderOf(cluster_);
@@ -236,8 +239,9 @@
     const Log& log = cluster_.servers()[static_cast<std::size_t>(leader)].log;
     const ServerId id = cluster_.servers()[static_cast<std::size_t>(s)].id;
     const auto& voters = log.configuration().voters;
-    if (std::find(voters.begin(), voters.end(), id) != voters.end()) return;  // removed, or never in it
-    for (const auto& other : cluster_.servers()) {  // and no other's view counts on it
+    if (std::find(voters.begin(), voters.end(), id) != voters.end())
+      return;                                       // only servers that were removed or never added
+    for (const auto& other : cluster_.servers()) {  // in the configuration of every server
       const auto& v = other.log.configuration().voters;
       if (std::find(v.begin(), v.end(), id) != v.end()) return;
     }
@@ -245,7 +249,7 @@
     cluster_.LoseDisk(s);
     cluster_.Start(s);
   }
-  // All faults end: there is a leader, it takes a proposal, and everybody has it.
+  // After all faults have ended there is a leader, it accepts a proposal, and all servers apply it.
   void CheckRecovery() {
     for (int i = 0; i < options_.servers; ++i) cluster_.Start(i);
     for (auto& p : partition_) p = 0;
@@ -258,23 +262,23 @@
     Settle(cluster_, 40);
     const int leader = LeaderOf(cluster_);
     if (leader < 0) {
-      recovery_failure_ = "nobody leads in the end";
+      recovery_failure_ = "no leader after all faults ended";
       return;
     }
     if (cluster_.committed_count() <= before) {
-      recovery_failure_ = "nothing is taken in the end";
+      recovery_failure_ = "no proposal was committed after all faults ended";
       return;
     }
     const Configuration& m = cluster_.servers()[static_cast<std::size_t>(leader)].log.configuration();
     for (const auto* ids : {&m.voters, &m.learners}) {
       for (const ServerId id : *ids) {
         const int at = cluster_.At(id);
-        // A learner whose disk is lost is another server now; it awaiting_reply to be added again.
+        // A learner that lost its disk is a new server, which has not been added yet.
         if (at < 0) continue;
         if (cluster_.servers()[static_cast<std::size_t>(at)].machine.applied_index !=
             cluster_.committed_count())
           recovery_failure_ =
-              "server " + std::to_string(id) + " has " +
+              "server " + std::to_string(id) + " applied " +
               std::to_string(cluster_.servers()[static_cast<std::size_t>(at)].machine.applied_index) +
               " of " + std::to_string(cluster_.committed_count());
       }
--- a/bench/cluster/log_sim.cpp
+++ b/bench/cluster/log_sim.cpp
@@ -1,4 +1,5 @@
-// log_sim: the replicated log explored and played at random, in virtual time. Not run by CI.
+// log_sim: explores schedules of the replicated log exhaustively or at random, in virtual time. CI does not
+// run it.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
@@ -7,27 +8,27 @@
 using namespace heronway::cluster::log;
 
 int main(int argc, char** argv) {
-  CLI::App app{"log_sim: the replicated log, every short schedule and long ones by chance"};
+  CLI::App app{"log_sim: checks the replicated log on all short schedules, or on long random ones"};
   app.require_subcommand(1);
   ExplorationBudget budget;
-  auto* explore = app.add_subcommand("explore", "Every schedule within a budget");
+  auto* explore = app.add_subcommand("explore", "Explore all schedules within a budget");
   explore->add_option("--proposals", budget.proposals);
   explore->add_option("--timeouts", budget.timeouts);
   explore->add_option("--heartbeats", budget.heartbeats);
   explore->add_option("--crashes", budget.crashes);
-  explore->add_option("--twice", budget.duplicates, "Messages that come twice");
+  explore->add_option("--twice", budget.duplicates, "Messages that are delivered twice");
   explore->add_option("--compactions", budget.compactions);
   explore->add_option("--depth", budget.depth);
   explore->add_option("--states", budget.max_states);
-  explore->add_flag("--slow-disks", budget.slow_disks, "A sync is a step of its own");
+  explore->add_flag("--slow-disks", budget.slow_disks, "Make each disk sync a separate step");
   RandomScheduleOptions options;
   std::uint64_t seeds = 20;
-  auto* play = app.add_subcommand("play", "Schedules by chance, seed by seed");
-  play->add_option("--servers", options.servers)->check(CLI::Range(1, 9));
-  play->add_option("--voters", options.voters)->check(CLI::Range(1, 9));
-  play->add_option("--steps", options.steps);
-  play->add_option("--seeds", seeds);
-  play->add_option("--seed", options.seed, "The first");
+  auto* random = app.add_subcommand("play", "Run random schedules, one for each seed");
+  random->add_option("--servers", options.servers)->check(CLI::Range(1, 9));
+  random->add_option("--voters", options.voters)->check(CLI::Range(1, 9));
+  random->add_option("--steps", options.steps);
+  random->add_option("--seeds", seeds);
+  random->add_option("--seed", options.seed, "The first seed");
   CLI11_PARSE(app, argc, argv);
   const auto u = [](std::uint64_t n) { return static_cast<unsigned long long>(n); };
   if (explore->parsed()) {
@@ -38,7 +39,7 @@
     return e.violation.empty() ? 0 : 1;
   }
   RandomScheduleResult sum;
-  int broken = 0;
+  int failed_seeds = 0;
   for (std::uint64_t n = 0; n < seeds; ++n) {
     const RandomScheduleResult p = RunRandomSchedule(options);
     sum.steps += p.steps;
@@ -51,7 +52,7 @@
     sum.disks_lost += p.disks_lost;
     sum.reads += p.reads;
     if (!p.violation.empty()) {
-      ++broken;
+      ++failed_seeds;
       std::printf("seed %llu: %s after %llu steps\n", u(options.seed), p.violation.c_str(), u(p.steps));
     }
     ++options.seed;
@@ -60,6 +61,6 @@
       "steps %llu chosen %llu crashes %llu cuts %llu changes asked %llu snapshots taken %llu elections "
       "won %llu disks lost %llu reads %llu: %d seeds with a breach\n",
       u(sum.steps), u(sum.committed), u(sum.crashes), u(sum.partitions), u(sum.changes), u(sum.snapshots),
-      u(sum.elections), u(sum.disks_lost), u(sum.reads), broken);
-  return broken == 0 ? 0 : 1;
+      u(sum.elections), u(sum.disks_lost), u(sum.reads), failed_seeds);
+  return failed_seeds == 0 ? 0 : 1;
 }
--- a/src/cluster/log/log.cpp
+++ b/src/cluster/log/log.cpp
@@ -1,5 +1,5 @@
-// Event dispatch, proposals, membership changes, reads, persistence, and compaction. Elections and replication
-// are in election.cpp and replication.cpp.
+// Event dispatch, proposals, membership changes, reads, persistence and compaction. Elections and
+// replication are in election.cpp and replication.cpp.
 #include "src/cluster/log/log.h"
 
 #include <algorithm>
--- a/src/cluster/log/types.h
+++ b/src/cluster/log/types.h
@@ -83,8 +83,8 @@
   bool accepted = false;             // replies: the vote was granted, or the entries matched
   bool leadership_transfer = false;  // kRequestVote: the election was started by kTimeoutNow
   std::vector<EntryPtr> entries;
-  // kInstallSnapshot: `chunk` starts at byte `offset` of `total_size`. In the reply, `offset` is the next byte
-  // that the follower expects.
+  // kInstallSnapshot: `chunk` starts at byte `offset` of `total_size`. In the reply, `offset` is the next
+  // byte that the follower expects.
   Configuration configuration;
   std::uint64_t offset = 0, total_size = 0;
   std::string chunk;
--- a/tests/cluster/log_codec_test.cpp
+++ b/tests/cluster/log_codec_test.cpp
@@ -1,4 +1,4 @@
-// Messages, entries and snapshots of a log as bytes.
+// Encoding of the replicated log's messages, entries and snapshots.
 #include <gtest/gtest.h>
 
 #include "src/cluster/log/codec.h"
@@ -6,7 +6,7 @@
 namespace heronway::cluster::log {
 namespace {
 
-Message Whole(MessageKind kind) {
+Message FullMessage(MessageKind kind) {
   Message m;
   m.kind = kind;
   m.from = 0xfedcba9876543210ULL;
@@ -33,34 +33,34 @@
   return m;
 }
 
-TEST(LogCodec, EveryKindComesBackWhole) {
+TEST(LogCodec, EveryMessageKindRoundTrips) {
   for (int kind = 0; kind < kMessageKindCount; ++kind) {
-    const Message m = Whole(static_cast<MessageKind>(kind));
-    const auto back = DecodeMessage(Encode(m));
-    ASSERT_TRUE(back.has_value());
-    EXPECT_EQ(DigestOf(*back), DigestOf(m));
+    const Message m = FullMessage(static_cast<MessageKind>(kind));
+    const auto decoded = DecodeMessage(Encode(m));
+    ASSERT_TRUE(decoded.has_value());
+    EXPECT_EQ(DigestOf(*decoded), DigestOf(m));
   }
   const Snapshot s{9, 3, {{1, 2, 3}, {4}}, std::string(1000, '\0')};
-  const auto back = DecodeSnapshot(Encode(s));
-  ASSERT_TRUE(back.has_value());
-  EXPECT_EQ(back->index, 9u);
-  EXPECT_EQ(back->configuration, s.configuration);
-  EXPECT_EQ(back->data, s.data);
+  const auto decoded = DecodeSnapshot(Encode(s));
+  ASSERT_TRUE(decoded.has_value());
+  EXPECT_EQ(decoded->index, 9u);
+  EXPECT_EQ(decoded->configuration, s.configuration);
+  EXPECT_EQ(decoded->data, s.data);
 }
 
-TEST(LogCodec, CutAndChangedBytesAreNothing) {
-  const std::string bytes = Encode(Whole(MessageKind::kAppendEntries));
+TEST(LogCodec, TruncatedAndUnknownInputIsRejected) {
+  const std::string bytes = Encode(FullMessage(MessageKind::kAppendEntries));
   for (std::size_t n = 0; n < bytes.size(); ++n)
     EXPECT_FALSE(DecodeMessage(bytes.substr(0, n)).has_value()) << n;
   std::string newer = bytes;
-  newer[3] = 2;  // behind the array's head
-  EXPECT_FALSE(DecodeMessage(newer).has_value()) << "a later form";
+  newer[3] = 2;  // the format version, after the array header
+  EXPECT_FALSE(DecodeMessage(newer).has_value()) << "a later format version";
   EXPECT_FALSE(DecodeEntry(bytes).has_value());
 }
 
-TEST(LogCodec, ValuesOutOfTheirBoundsAreNothing) {
+TEST(LogCodec, ValuesOutOfRangeAreRejected) {
   const auto rejected = [](auto change) {
-    Message m = Whole(MessageKind::kInstallSnapshot);
+    Message m = FullMessage(MessageKind::kInstallSnapshot);
     change(m);
     return !DecodeMessage(Encode(m)).has_value();
   };
@@ -69,10 +69,13 @@
   EXPECT_TRUE(rejected([](Message& m) { m.term = kMaxTerm + 1; }));
   EXPECT_TRUE(rejected([](Message& m) { m.match_hint = kMaxIndex + 1; }));
   EXPECT_TRUE(rejected([](Message& m) { m.offset = 101; }));
-  EXPECT_TRUE(rejected([](Message& m) { m.offset = 65; })) << "a piece beyond the end";
-  EXPECT_TRUE(rejected([](Message& m) { m.configuration.voters = {2, 1}; })) << "not in order";
-  EXPECT_TRUE(rejected([](Message& m) { m.configuration.voters = {1, 1}; })) << "one that would count twice";
-  EXPECT_TRUE(rejected([](Message& m) { std::swap(m.entries[0], m.entries[1]); })) << "terms that fall back";
+  EXPECT_TRUE(rejected([](Message& m) { m.offset = 65; })) << "a chunk beyond the end";
+  EXPECT_TRUE(rejected([](Message& m) { m.configuration.voters = {2, 1}; })) << "not in ascending order";
+  EXPECT_TRUE(rejected([](Message& m) {
+    m.configuration.voters = {1, 1};
+  })) << "a duplicate would count twice";
+  EXPECT_TRUE(rejected([](Message& m) { std::swap(m.entries[0], m.entries[1]); }))
+      << "terms must not decrease";
 }
 
 }  // namespace
--- a/tests/cluster/log_rules_test.cpp
+++ b/tests/cluster/log_rules_test.cpp
@@ -1,5 +1,5 @@
-// The replicated log's rules one by one, on one server whose messages and disk are played by hand: what
-// longer schedules reach too seldom to show.
+// The rules of the replicated log one at a time, on a single server. The tests send the messages and complete
+// the writes themselves, to reach cases that random schedules reach too rarely.
 #include <gtest/gtest.h>
 
 #include "src/cluster/log/log.h"
@@ -18,24 +18,24 @@
   return e;
 }
 
-// Server 1 of 1, 2 and 3.
+// Server 1, by default in a group with servers 2 and 3.
 class SingleServer {
  public:
   explicit SingleServer(std::vector<ServerId> voters = {1, 2, 3}, std::vector<EntryPtr> entries = {},
                         HardState hard_state = {}) {
-    auto beginning = std::make_shared<Snapshot>();
-    beginning->configuration.voters = std::move(voters);
-    log = std::make_unique<Log>(Settings{}, 1, PersistentState{hard_state, beginning, std::move(entries)}, 5,
+    auto initial = std::make_shared<Snapshot>();
+    initial->configuration.voters = std::move(voters);
+    log = std::make_unique<Log>(Settings{}, 1, PersistentState{hard_state, initial, std::move(entries)}, 5,
                                 now);
   }
   void Handle(Event event) {
     effects.clear();
     log->Handle(now, std::move(event), effects);
     for (const Effect& e : effects) {
-      if (const auto* p = std::get_if<Persist>(&e)) last_write = p->number;
+      if (const auto* p = std::get_if<Persist>(&e)) last_persist = p->number;
     }
   }
-  void Sync() { Handle(Persisted{last_write}); }
+  void Sync() { Handle(Persisted{last_persist}); }
   void Receive(MessageKind kind, ServerId from, Term term, Index index = 0, Term log_term = 0,
                bool accepted = false) {
     Message m;
@@ -80,10 +80,10 @@
   Micros now = 100 * kSecond;
   std::unique_ptr<Log> log;
   std::vector<Effect> effects;
-  std::uint64_t last_write = 0;
+  std::uint64_t last_persist = 0;
 };
 
-TEST(LogRules, ALeaderThatIsHeardIsKept) {
+TEST(LogRules, NoVotesWhileTheLeaderIsActive) {
   SingleServer server;
   server.Append(2, 1, 0, 0, {});
   server.Sync();
@@ -91,14 +91,14 @@
   EXPECT_TRUE(server.Sent(MessageKind::kPreVoteReply).empty());
   server.Receive(MessageKind::kRequestVote, 3, 2, 9, 9);
   EXPECT_EQ(server.log->term(), 1u);
-  server.now += kSecond;  // it is silent now
+  server.now += kSecond;  // the leader has been silent for an election timeout
   server.Receive(MessageKind::kPreVote, 3, 2, 9, 9);
   ASSERT_EQ(server.Sent(MessageKind::kPreVoteReply).size(), 1u);
   EXPECT_TRUE(server.Sent(MessageKind::kPreVoteReply)[0].accepted);
-  EXPECT_EQ(server.log->term(), 1u) << "a pre-hard_state raises no term";
+  EXPECT_EQ(server.log->term(), 1u) << "a pre-vote does not raise the term";
 }
 
-TEST(LogRules, NoVoteForOneThatLacksEntries) {
+TEST(LogRules, NoVoteForACandidateThatLacksEntries) {
   SingleServer server({1, 2, 3}, {MakeEntry(1), MakeEntry(1)}, HardState{1, 0});
   server.Receive(MessageKind::kRequestVote, 2, 2, 1, 1);
   server.Sync();
@@ -110,25 +110,25 @@
   EXPECT_TRUE(server.Sent(MessageKind::kRequestVoteReply)[0].accepted);
 }
 
-TEST(LogRules, NothingOfATermIsToldBeforeItIsOnDisk) {
+TEST(LogRules, RepliesWaitUntilTheTermIsDurable) {
   SingleServer server;
   server.Receive(MessageKind::kRequestVote, 2, 5);
   EXPECT_TRUE(server.Sent(MessageKind::kRequestVoteReply).empty());
   server.Sync();
   EXPECT_EQ(server.Sent(MessageKind::kRequestVoteReply).size(), 1u);
-  SingleServer alone({1});
-  alone.now += 3 * kSecond;
-  alone.Handle(Tick{});
-  EXPECT_NE(alone.log->role(), Role::kLeader) << "its own hard_state is not on disk";
-  alone.Sync();
-  EXPECT_EQ(alone.log->role(), Role::kLeader);
+  SingleServer only_voter({1});
+  only_voter.now += 3 * kSecond;
+  only_voter.Handle(Tick{});
+  EXPECT_NE(only_voter.log->role(), Role::kLeader) << "its own vote is not durable yet";
+  only_voter.Sync();
+  EXPECT_EQ(only_voter.log->role(), Role::kLeader);
 }
 
-// What replaces entries that were on disk is not on disk: an answer must not count the old ones.
-TEST(LogRules, AnAnswerTellsWhatIsOnDiskOfThisLeader) {
+// Entries that replace durable ones are not durable themselves: a reply must not count the old entries.
+TEST(LogRules, RepliesCountOnlyDurableEntriesOfTheCurrentLeader) {
   SingleServer server({1, 2, 3}, {MakeEntry(1), MakeEntry(1), MakeEntry(1)}, HardState{1, 0});
   server.Append(2, 2, 0, 0, {});
-  server.Sync();  // the term is on disk: answers leave at once
+  server.Sync();  // the term is durable, so replies are sent at once
   server.Append(2, 2, 1, 1, {MakeEntry(2), MakeEntry(2)});
   ASSERT_EQ(server.Sent(MessageKind::kAppendEntriesReply).size(), 1u);
   EXPECT_EQ(server.Sent(MessageKind::kAppendEntriesReply)[0].index, 1u);
@@ -140,16 +140,16 @@
   EXPECT_EQ(replies.back().index, 3u);
 }
 
-TEST(LogRules, MembersThatAreTakenBackAreNotInForce) {
+TEST(LogRules, ATruncatedConfigurationIsReverted) {
   SingleServer server({1, 2, 3}, {MakeEntry(1), MakeEntry(1, EntryKind::kConfiguration, {{1, 2, 3, 4}, {}})},
                       HardState{1, 0});
-  EXPECT_EQ(server.log->configuration().voters.size(), 4u) << "in force as soon as it is in the log";
+  EXPECT_EQ(server.log->configuration().voters.size(), 4u) << "takes effect as soon as it is in the log";
   server.Append(2, 2, 1, 1, {MakeEntry(2)});
   EXPECT_EQ(server.log->configuration().voters.size(), 3u);
 }
 
-// A new leader may not know of the last leader_commit of the one before it.
-TEST(LogRules, NoReadBeforeAnEntryOfItsOwnTermIsCommitted) {
+// A new leader may not know the last entries that the previous leader committed.
+TEST(LogRules, NoReadBeforeAnEntryOfTheOwnTermIsCommitted) {
   SingleServer server({1, 2, 3}, {MakeEntry(1)}, HardState{1, 0});
   server.Lead();
   server.Handle(ReadIndex{9});
@@ -165,8 +165,8 @@
   EXPECT_FALSE(rejected());
 }
 
-// Figure 3.7 of the dissertation: an entry of an older term is on a majority, and may yet be replaced.
-TEST(LogRules, AnOlderTermsEntryIsCommittedOnlyWithOneOfItsOwn) {
+// Figure 3.7 of the dissertation: an entry of an older term is on a majority and can still be replaced.
+TEST(LogRules, EntriesOfOlderTermsAreCommittedWithOneOfTheOwnTerm) {
   SingleServer server({1, 2, 3}, {MakeEntry(1)}, HardState{1, 0});
   server.Lead();
   server.Sync();
@@ -176,8 +176,8 @@
   EXPECT_EQ(server.log->commit_index(), 2u);
 }
 
-// Else both go on for ever: it does not hear of the higher term, and the other is not led by it.
-TEST(LogRules, ALeaderOfAnOlderTermIsToldOfTheNewer) {
+// Otherwise the stale leader never learns of the higher term and keeps sending to this server forever.
+TEST(LogRules, AStaleLeaderLearnsTheHigherTerm) {
   SingleServer server({1, 2, 3}, {}, HardState{7, 0});
   server.Append(2, 5, 0, 0, {});
   ASSERT_EQ(server.Sent(MessageKind::kAppendEntriesReply).size(), 1u);
@@ -185,7 +185,7 @@
   EXPECT_FALSE(server.Sent(MessageKind::kAppendEntriesReply)[0].accepted);
 }
 
-TEST(LogRules, LeadershipIsHandedToOneThatHasEverything) {
+TEST(LogRules, LeadershipIsTransferredOnceTheTargetIsUpToDate) {
   SingleServer server;
   server.Lead();
   server.Sync();
--- a/tests/cluster/log_test.cpp
+++ b/tests/cluster/log_test.cpp
@@ -1,5 +1,5 @@
-// The replicated log: Raft's properties over every short schedule and long ones by chance, and one by one the
-// cases that such schedules reach seldom.
+// The replicated log on a simulated cluster: Raft's safety properties on all short schedules and on long
+// random ones, and separate tests for cases that these reach rarely.
 #include "src/cluster/log/log.h"
 
 #include <gtest/gtest.h>
@@ -19,14 +19,15 @@
   return s;
 }
 
-// A group in which things arrive at once, unless `cut` says otherwise.
+// A cluster that delivers messages and syncs disks at once, except over `blocked_links` and while
+// `disks_sync` is false.
 struct TestCluster {
   SimulatedCluster sim;
   std::set<std::pair<ServerId, ServerId>> blocked_links;  // from, to
   bool disks_sync = true;
   explicit TestCluster(int servers, int voters, const Settings& settings = SmallLimits())
       : sim(settings, servers, voters, 3) {}
-  void Run(int steps) {  // of 50 ms
+  void Run(int steps) {  // 50 ms each
     for (int n = 0; n < steps; ++n) {
       sim.AdvanceTime(50 * kMs);
       for (int i = 0; i < Size(); ++i) sim.Tick(i);
@@ -73,7 +74,7 @@
   }
 };
 
-TEST(Log, EveryShortScheduleKeepsTheProperties) {
+TEST(Log, AllShortSchedulesAreSafe) {
   ExplorationBudget b;
   b.max_states = 15'000;
   b.heartbeats = 0;
@@ -93,7 +94,7 @@
   EXPECT_GT(two.states + crash.states + slow.states, 30'000u);
 }
 
-TEST(Log, LongSchedulesByChance) {
+TEST(Log, LongRandomSchedulesAreSafe) {
   std::uint64_t committed = 0, snapshots_restored = 0, led = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     RandomScheduleOptions c;
@@ -106,12 +107,12 @@
     snapshots_restored += p.snapshots;
     led += p.elections;
   }
-  EXPECT_GT(committed, 1'000u) << "the schedules must let the group do something";
+  EXPECT_GT(committed, 1'000u) << "the schedules must let the cluster make progress";
   EXPECT_GT(snapshots_restored, 10u);
   EXPECT_GT(led, 30u);
 }
 
-TEST(Log, EqualSeedsGoAlike) {
+TEST(Log, EqualSeedsGiveEqualResults) {
   RandomScheduleOptions c;
   c.steps = 5'000;
   const RandomScheduleResult a = RunRandomSchedule(c), b = RunRandomSchedule(c);
@@ -119,7 +120,7 @@
   EXPECT_EQ(a.elections, b.elections);
 }
 
-TEST(Log, ACutOffLeaderCommitsNothingAndStandsDown) {
+TEST(Log, APartitionedLeaderCommitsNothingAndStepsDown) {
   TestCluster cluster(3, 3);
   const int old = cluster.Elect();
   ASSERT_GE(old, 0);
@@ -128,7 +129,7 @@
   cluster.ProposeEntries(old, 3);
   EXPECT_EQ(cluster.sim.committed_count(), before);
   cluster.Run(60);
-  EXPECT_NE(cluster.At(old).log.role(), Role::kLeader) << "nobody answers it";
+  EXPECT_NE(cluster.At(old).log.role(), Role::kLeader) << "it has no contact to a majority";
   const int next = cluster.Leader();
   ASSERT_GE(next, 0);
   ASSERT_NE(next, old);
@@ -137,12 +138,12 @@
   cluster.Run(20);
   EXPECT_EQ(cluster.At(old).log.leader(), cluster.At(next).id);
   EXPECT_EQ(cluster.At(old).machine.history_hash, cluster.At(next).machine.history_hash)
-      << "what it held back is gone";
+      << "its uncommitted entries are discarded";
   EXPECT_EQ(cluster.sim.violation(), "");
 }
 
-// It is cut off for long and comes back: its term must not unseat a leader that all others hear.
-TEST(Log, OneThatWasCutOffUnseatsNobody) {
+// A server that returns after a long partition must not depose an active leader with a higher term.
+TEST(Log, AReturningServerDoesNotDeposeTheLeader) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect();
   const Term term = cluster.At(leader).log.term();
@@ -155,8 +156,8 @@
   EXPECT_EQ(cluster.At(leader).log.term(), term);
 }
 
-// A leader that can send but not receive, and one that can receive but not send, do not last.
-TEST(Log, OneWayCutsMakeAnother) {
+// A leader that can send but not receive, or receive but not send, is replaced.
+TEST(Log, ALeaderWithAOneWayLinkIsReplaced) {
   for (const bool sends : {true, false}) {
     TestCluster cluster(3, 3);
     const int leader = cluster.Elect();
@@ -174,34 +175,35 @@
   }
 }
 
-TEST(Log, NothingIsCommittedBeforeItIsOnAMajorityOfDisks) {
+TEST(Log, CommitNeedsAMajorityOfDisks) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect();
   const std::size_t before = cluster.sim.committed_count();
   cluster.disks_sync = false;
   cluster.ProposeEntries(leader, 1);
-  EXPECT_EQ(cluster.sim.committed_count(), before) << "all have it, nobody on disk";
+  EXPECT_EQ(cluster.sim.committed_count(), before) << "received by all servers, durable on none";
   cluster.sim.Sync((leader + 1) % 3);
   cluster.DeliverAll();
-  EXPECT_EQ(cluster.sim.committed_count(), before) << "one disk of three";
+  EXPECT_EQ(cluster.sim.committed_count(), before) << "durable on one of three";
   cluster.sim.Sync((leader + 2) % 3);
   cluster.DeliverAll();
-  EXPECT_GT(cluster.sim.committed_count(), before) << "two: the leader's own disk may be the slow one";
+  EXPECT_GT(cluster.sim.committed_count(), before)
+      << "durable on two of three, even if the leader's disk is the slow one";
 }
 
-TEST(Log, AVoteThatIsNotOnDiskIsNotTold) {
+TEST(Log, AVoteIsNotSentBeforeItIsDurable) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect();
   cluster.Isolate(leader);
   cluster.disks_sync = false;
   cluster.Run(100);
-  EXPECT_LE(cluster.sim.terms_with_leader(), 1u) << "no hard_state is on any disk";
+  EXPECT_LE(cluster.sim.terms_with_leader(), 1u) << "no vote is durable";
   cluster.disks_sync = true;
   cluster.Run(60);
   EXPECT_GT(cluster.sim.terms_with_leader(), 1u);
 }
 
-TEST(Log, AllKilledAndRestartedTogether) {
+TEST(Log, AllServersCrashAndRestart) {
   TestCluster cluster(3, 3);
   cluster.ProposeEntries(cluster.Elect(), 20);
   const std::size_t before = cluster.sim.committed_count();
@@ -215,8 +217,8 @@
   for (int i = 0; i < 3; ++i) EXPECT_EQ(cluster.At(i).machine.applied_index, cluster.sim.committed_count());
 }
 
-// Far behind, with compaction going on: it is sent a snapshot, in pieces, of which each may be lost once.
-TEST(Log, ASnapshotCutAtEveryPiece) {
+// A follower whose missing entries were compacted receives a snapshot in chunks; each chunk is lost once.
+TEST(Log, SnapshotTransferSurvivesLossOfAnyChunk) {
   for (int lost = 0; lost < 6; ++lost) {
     TestCluster cluster(3, 3);
     const int leader = cluster.Elect(), away = (leader + 1) % 3;
@@ -225,7 +227,7 @@
     cluster.sim.CompactApplied(leader);
     cluster.ProposeEntries(leader, 10);
     cluster.sim.Start(away);
-    int pieces = 0;
+    int chunks = 0;
     for (int n = 0; n < 60; ++n) {
       cluster.sim.AdvanceTime(50 * kMs);
       for (int i = 0; i < 3; ++i) cluster.sim.Tick(i);
@@ -233,31 +235,31 @@
         for (int i = 0; i < 3; ++i) {
           while (!cluster.At(i).pending_writes.empty()) cluster.sim.Sync(i);
         }
-        const bool piece = cluster.sim.messages_in_flight().front().kind == MessageKind::kInstallSnapshot;
-        piece&& pieces++ == lost ? cluster.sim.Drop(0) : cluster.sim.Deliver(0, false);
+        const bool is_chunk = cluster.sim.messages_in_flight().front().kind == MessageKind::kInstallSnapshot;
+        is_chunk&& chunks++ == lost ? cluster.sim.Drop(0) : cluster.sim.Deliver(0, false);
       }
     }
-    EXPECT_GE(pieces, 3) << "a snapshot of more than two pieces";
+    EXPECT_GE(chunks, 3) << "the snapshot needs more than two chunks";
     EXPECT_EQ(cluster.At(away).machine.history_hash, cluster.At(leader).machine.history_hash)
-        << "piece " << lost;
+        << "chunk " << lost;
     EXPECT_EQ(cluster.sim.violation(), "");
   }
 }
 
-TEST(Log, ALeaderHandsOverWithoutAGap) {
+TEST(Log, LeadershipTransferNeedsNoElectionTimeout) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect(), to = (leader + 2) % 3;
   cluster.ProposeEntries(leader, 5);
   cluster.sim.HandleEvent(leader, TransferLeadership{cluster.At(to).id});
   cluster.DeliverAll();
-  EXPECT_EQ(cluster.Leader(), to) << "no election's time has passed";
+  EXPECT_EQ(cluster.Leader(), to) << "no election timeout has passed";
   const std::size_t before = cluster.sim.committed_count();
   cluster.ProposeEntries(to, 1);
   EXPECT_GT(cluster.sim.committed_count(), before);
 }
 
-// To one that has gone: nothing is taken meanwhile, and then it goes on as before.
-TEST(Log, AHandOverThatFailsEndsInTime) {
+// The target is down: proposals are rejected until the transfer times out, and accepted again afterwards.
+TEST(Log, AFailedTransferTimesOut) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect(), to = (leader + 1) % 3;
   cluster.sim.Crash(to);
@@ -271,12 +273,12 @@
   EXPECT_GT(cluster.sim.committed_count(), before);
 }
 
-TEST(Log, AServerIsAddedAsALearnerAndThenVotes) {
+TEST(Log, AServerIsAddedAsALearnerAndPromoted) {
   TestCluster cluster(4, 3);
   const int leader = cluster.Elect();
   cluster.ProposeEntries(leader, 10);
   cluster.sim.HandleEvent(leader, ChangeConfiguration{90, ConfigurationChange::kPromote, 4});
-  EXPECT_TRUE(cluster.sim.rejected.contains(90)) << "it is no learner yet";
+  EXPECT_TRUE(cluster.sim.rejected.contains(90)) << "it is not a learner yet";
   cluster.sim.HandleEvent(leader, ChangeConfiguration{91, ConfigurationChange::kAddLearner, 4});
   cluster.DeliverAll();
   cluster.Run(4);
@@ -289,22 +291,23 @@
   cluster.Run(100);
   const int next = cluster.Leader();
   ASSERT_GE(next, 0);
-  EXPECT_NE(next, leader) << "it took itself out";
+  EXPECT_NE(next, leader) << "it removed itself";
   EXPECT_EQ(cluster.At(next).log.configuration().voters.size(), 3u);
   cluster.ProposeEntries(next, 1);
   EXPECT_EQ(cluster.sim.violation(), "");
   EXPECT_EQ(cluster.At(3).machine.applied_index, cluster.sim.committed_count());
 }
 
-// The fault of 2014: a leader that has committed nothing of its own term yet may not change the configuration.
-TEST(Log, NoChangeBeforeAnEntryOfItsOwnTerm) {
+// The error in the membership changes of the 2014 dissertation: a leader that has not committed an entry of
+// its own term must not change the configuration.
+TEST(Log, NoMembershipChangeBeforeAnEntryOfTheOwnTerm) {
   TestCluster cluster(4, 3);
   cluster.disks_sync = false;
   int leader = -1;
   for (int n = 0; n < 200 && leader < 0; ++n) {
     cluster.Run(1);
     for (int i = 0; i < 4; ++i) {
-      // Votes alone are synced: the first entry is not.
+      // Only votes are synced, not the leader's first entry.
       if (!cluster.At(i).pending_writes.empty() && cluster.At(i).pending_writes.front().hard_state)
         cluster.sim.Sync(i);
     }
@@ -320,10 +323,10 @@
   EXPECT_TRUE(cluster.sim.proposed.contains(8));
   cluster.sim.HandleEvent(
       leader, ChangeConfiguration{9, ConfigurationChange::kRemove, cluster.At((leader + 1) % 3).id});
-  EXPECT_TRUE(cluster.sim.rejected.contains(9)) << "one at a time";
+  EXPECT_TRUE(cluster.sim.rejected.contains(9)) << "only one change at a time";
 }
 
-TEST(Log, ReadsNeedAMajorityThatStillFollows) {
+TEST(Log, ReadsNeedConfirmationByAMajority) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect();
   cluster.sim.HandleEvent(leader, ReadIndex{1});
@@ -334,17 +337,17 @@
   cluster.sim.HandleEvent(leader, ReadIndex{2});
   cluster.Run(60);
   EXPECT_FALSE(cluster.sim.reads_ready.contains(2));
-  EXPECT_TRUE(cluster.sim.rejected.contains(2)) << "it is told to ask elsewhere";
+  EXPECT_TRUE(cluster.sim.rejected.contains(2)) << "the client has to ask another server";
 }
 
-// A follower that answers nothing holds up nobody, and no more than the bound is on its way to it.
-TEST(Log, BytesUnderWayAreBounded) {
+// A follower whose replies are lost delays nobody, and the bytes in flight to it stay within the limit.
+TEST(Log, InflightAndUncommittedBytesAreBounded) {
   TestCluster cluster(3, 3);
   const int leader = cluster.Elect(), deaf = (leader + 1) % 3;
   cluster.blocked_links.insert({cluster.At(deaf).id, cluster.At(leader).id});
   const std::uint64_t before = cluster.sim.bytes;
   cluster.ProposeEntries(leader, 200);
-  EXPECT_LT(cluster.sim.bytes - before, 2u * 200 * 12) << "not twice all of it";
+  EXPECT_LT(cluster.sim.bytes - before, 2u * 200 * 12) << "not the whole log twice";
   EXPECT_GE(cluster.sim.committed_count(), 200u);
   Settings small = SmallLimits();
   small.max_uncommitted_bytes = 100;
@@ -352,10 +355,10 @@
   const int alone = full.Elect();
   full.Isolate(alone);
   for (int n = 0; n < 100; ++n) full.sim.Propose(alone, "0123456789");
-  EXPECT_GT(full.sim.rejected.size(), 85u) << "what cannot be committed is not piled up";
+  EXPECT_GT(full.sim.rejected.size(), 85u) << "proposals that cannot be committed do not accumulate";
 }
 
-TEST(Log, AGroupOfOneCommitsWhenItsDiskHasIt) {
+TEST(Log, ASingleServerCommitsWhenItsDiskIsSynced) {
   TestCluster cluster(1, 1);
   const int leader = cluster.Elect();
   ASSERT_EQ(leader, 0);
--- a/tests/fuzz/log_fuzz.cpp
+++ b/tests/fuzz/log_fuzz.cpp
@@ -1,5 +1,5 @@
-// Bytes are a log's message, entry or snapshot, or nothing; what is one comes back whole. A server takes any
-// such message, whatever it is at the moment, and what was committed stays as it was.
+// Fuzzes the replicated log's codec and message handling. Whatever decodes must round-trip, and a leader and
+// a follower must handle any decoded message without losing or changing committed entries.
 #include <cstdlib>
 
 #include "src/cluster/log/codec.h"
@@ -19,11 +19,11 @@
   effects.clear();
 }
 
-// A leader of two, of which the other has answered, or a follower that has heard of a leader.
+// A leader of a group of two with one committed entry, or a follower with one committed entry of two.
 Log Make(bool leads) {
-  auto beginning = std::make_shared<Snapshot>();
-  beginning->configuration.voters = {1, 2};
-  Log log({}, 1, PersistentState{{}, beginning, {}}, 1, 0);
+  auto initial = std::make_shared<Snapshot>();
+  initial->configuration.voters = {1, 2};
+  Log log({}, 1, PersistentState{{}, initial, {}}, 1, 0);
   std::vector<Effect> effects;
   Micros now = 3'000'000;
   Message m;
