--- a/bench/cluster/log_schedules.cpp
+++ b/bench/cluster/log_schedules.cpp
@@ -222,13 +222,13 @@
   void ChangeRandomServer() {
     const int leader = LeaderOf(cluster_);
     if (leader < 0) return;
-    const Configuration& m = cluster_.servers()[static_cast<std::size_t>(leader)].log.configuration();
-    ChangeConfiguration c;
-    c.server = cluster_.servers()[static_cast<std::size_t>(RandomServer())].id;
-    c.change = static_cast<ConfigurationChange>(RandomBelow(3));
-    if (c.change == ConfigurationChange::kRemove && m.voters.size() <= 2) return;
+    const Configuration& current = cluster_.servers()[static_cast<std::size_t>(leader)].log.configuration();
+    ChangeConfiguration request;
+    request.server = cluster_.servers()[static_cast<std::size_t>(RandomServer())].id;
+    request.change = static_cast<ConfigurationChange>(RandomBelow(3));
+    if (request.change == ConfigurationChange::kRemove && current.voters.size() <= 2) return;
     ++result_.changes;
-    cluster_.HandleEvent(leader, c);
+    cluster_.HandleEvent(leader, request);
   }
   // Only a server that is a voter in no configuration loses its disk: no log can survive the loss of disks
   // that a majority depends on.
@@ -238,10 +238,10 @@
     if (leader < 0 || leader == s) return;
     const Log& log = cluster_.servers()[static_cast<std::size_t>(leader)].log;
     const ServerId id = cluster_.servers()[static_cast<std::size_t>(s)].id;
+    // The server was removed or never added, in the leader's configuration and in that of every other server.
     const auto& voters = log.configuration().voters;
-    if (std::find(voters.begin(), voters.end(), id) != voters.end())
-      return;                                       // only servers that were removed or never added
-    for (const auto& other : cluster_.servers()) {  // in the configuration of every server
+    if (std::find(voters.begin(), voters.end(), id) != voters.end()) return;
+    for (const auto& other : cluster_.servers()) {
       const auto& v = other.log.configuration().voters;
       if (std::find(v.begin(), v.end(), id) != v.end()) return;
     }
@@ -269,8 +269,8 @@
       recovery_failure_ = "no proposal was committed after all faults ended";
       return;
     }
-    const Configuration& m = cluster_.servers()[static_cast<std::size_t>(leader)].log.configuration();
-    for (const auto* ids : {&m.voters, &m.learners}) {
+    const Configuration& current = cluster_.servers()[static_cast<std::size_t>(leader)].log.configuration();
+    for (const auto* ids : {&current.voters, &current.learners}) {
       for (const ServerId id : *ids) {
         const int at = cluster_.At(id);
         // A learner that lost its disk is a new server, which has not been added yet.
--- a/src/cluster/log/codec.cpp
+++ b/src/cluster/log/codec.cpp
@@ -13,9 +13,9 @@
   out.pack_bin(static_cast<std::uint32_t>(bytes.size()));
   out.pack_bin_body(bytes.data(), static_cast<std::uint32_t>(bytes.size()));
 }
-void Pack(Packer& out, const Configuration& m) {
+void Pack(Packer& out, const Configuration& configuration) {
   out.pack_array(2);
-  out.pack(m.voters).pack(m.learners);
+  out.pack(configuration.voters).pack(configuration.learners);
 }
 void Pack(Packer& out, const Entry& e) {
   out.pack_array(5);
@@ -36,17 +36,17 @@
     Require(o.type == msgpack::type::BIN && o.via.bin.size <= kMaxDataBytes);
     return {o.via.bin.ptr, o.via.bin.size};
   }
-  log::Configuration Servers() {
+  log::Configuration NextConfiguration() {
     pack::ArrayReader in(Next(), 2);
-    log::Configuration m;
-    for (auto* ids : {&m.voters, &m.learners}) {
+    log::Configuration configuration;
+    for (auto* ids : {&configuration.voters, &configuration.learners}) {
       const msgpack::object& o = in.Next();
       Require(o.type == msgpack::type::ARRAY && o.via.array.size <= kMaxServers);
       *ids = o.as<std::vector<ServerId>>();
       // Binary searches rely on the order, and a duplicate would count twice towards a majority.
       Require(std::adjacent_find(ids->begin(), ids->end(), std::greater_equal<>()) == ids->end());
     }
-    return m;
+    return configuration;
   }
   Entry NextEntry() { return ToEntry(Next()); }
   static Entry ToEntry(const msgpack::object& o) {
@@ -55,7 +55,7 @@
     e.term = in.Unsigned();
     e.kind = in.Enum(EntryKind::kConfiguration);
     e.data = in.Bytes();
-    e.configuration = in.Servers();
+    e.configuration = in.NextConfiguration();
     return e;
   }
 };
@@ -134,7 +134,7 @@
       // Terms never decrease along a log.
       Reader::Require(i == 0 || m.entries[i]->term >= m.entries[i - 1]->term);
     }
-    m.configuration = in.Servers();
+    m.configuration = in.NextConfiguration();
     m.offset = in.Unsigned();
     m.total_size = in.Unsigned();
     m.chunk = in.Bytes();
@@ -155,7 +155,7 @@
     Snapshot s;
     s.index = in.Number<Index>(0, kMaxIndex);
     s.term = in.Number<Term>(0, kMaxTerm);
-    s.configuration = in.Servers();
+    s.configuration = in.NextConfiguration();
     s.data = in.Bytes();
     return s;
   });
--- a/src/cluster/log/log.cpp
+++ b/src/cluster/log/log.cpp
@@ -114,7 +114,7 @@
   entry->data = std::move(e.data);
   effects_->push_back(Proposed{e.request_id, last_index() + 1, hard_state_.term});
   Append(std::move(entry));
-  AdvanceCommitIndex();  // the only voter may have nothing to wait for
+  AdvanceCommitIndex();  // a group of one receives no replies that would advance it
 }
 
 // Changes one server at a time, so that the majorities before and after overlap. No change is allowed before
--- a/src/cluster/log/log.h
+++ b/src/cluster/log/log.h
@@ -124,7 +124,8 @@
  public:
   Log(const Settings& settings, ServerId self, PersistentState disk, std::uint64_t seed, Micros now);
 
-  // Processes one event and appends its effects to `effects`. `now` that lies in the past is ignored.
+  // Processes one event and appends its effects to `effects`. Time never runs backwards: a
+  // `now` before that of an earlier event is replaced by the latter.
   void Handle(Micros now, Event event, std::vector<Effect>& effects);
 
   ServerId self() const { return self_; }
--- a/src/trace/trace.cpp
+++ b/src/trace/trace.cpp
@@ -98,8 +98,8 @@
     if (!cells[kMachine].empty()) targets_[std::string(cells[kMachine])] = true;
     ++summary_.hops;
     const auto [it, inserted] = open_tasks_.try_emplace(task);
-    if (!inserted &&
-        !it->second.hopped) {  // the wait is unknown if the task was submitted before the trace began
+    // The wait is unknown if the task was submitted before the trace began.
+    if (!inserted && !it->second.hopped) {
       const double wait = static_cast<double>(now - it->second.arrived) / 1e6;
       total_wait_s_ += wait;
       ++waits_counted_;
--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -21,10 +21,11 @@
   using std::runtime_error::runtime_error;
 };
 
+// Totals of a trace. Times are in microseconds from the trace's start.
 struct Summary {
   std::uint64_t lines = 0;
   std::uint64_t arrived = 0, hops = 0, updates = 0;
-  std::array<std::uint64_t, 8> outcomes{};  // by pebblenotch::Result
+  std::array<std::uint64_t, 8> outcomes{};  // number of tasks by core::Result
   std::array<std::uint64_t, 4> by_class{};  // arrivals by scheduling class, 0 to 3
   std::uint64_t waiting = 0, running = 0;   // at the end of the trace
   std::uint64_t targets = 0;                // machines with at least one hop
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -492,7 +492,8 @@
   const std::string odd = "a\"b\nc";
   const auto fields = {log::Field("id", odd), log::Field("n", 3), log::Field("share", 0.25)};
   EXPECT_EQ(log::Format(log::LineFormat::kText, "x", fields), R"(x id="a\"b\x0ac" n=3 share=0.250)");
-  EXPECT_EQ(log::Format(log::LineFormat::kJson, "x", fields), R"({"event":"x","id":"a\"b\nc","n":3,"share":0.25})");
+  EXPECT_EQ(log::Format(log::LineFormat::kJson, "x", fields),
+            R"({"event":"x","id":"a\"b\nc","n":3,"share":0.25})");
 }
 
 }  // namespace
