--- a/src/trace/trace.h
+++ b/src/trace/trace.h
@@ -21,7 +21,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// Totals of a trace. Times are in microseconds from the trace's start.
+// Totals of a trace. `first` and `last` are timestamps of the trace in microseconds; `first` is -1 while no
+// line has been read.
 struct Summary {
   std::uint64_t lines = 0;
   std::uint64_t arrived = 0, hops = 0, updates = 0;
