--- a/src/cluster/target_gossip/target_gossip.h
+++ b/src/cluster/target_gossip/target_gossip.h
@@ -1,6 +1,6 @@
-// Gossip about targets (workers) among schedulers, so that not every scheduler has to find out by a request of
-// its own that a target failed or restarted. Does no I/O and reads no clock; deterministic for a seed. It only
-// advises which targets to probe; the decision module decides by the result of the probe.
+// Gossip about targets (workers) among schedulers, so that not every scheduler has to find out by a request
+// of its own that a target failed or restarted. Does no I/O and reads no clock; deterministic for a seed. It
+// only advises which targets to probe; the decision module decides by the result of the probe.
 //
 //  - Own observations take precedence: a target that answered this scheduler after the gossiped observation
 //    was made is not suspected.
@@ -8,9 +8,9 @@
 //    report a few schedulers probe; after a second one all do.
 //  - A restart is accepted once two independent observers agree, and it only makes a target colder. Gossip
 //    never makes a target warmer than this scheduler knows it to be.
-//  - A member that has just started receives a peer's own observations: failing targets, cold targets and last
-//    load reports. A report of free capacity is passed to the module with its age, only for targets that this
-//    scheduler has not observed itself, and from at most two peers, the second one only if it is worse.
+//  - A member that has just started receives a peer's own observations: failing targets, cold targets and
+//    last load reports. A report of free capacity is passed to the module with its age, only for targets that
+//    this scheduler has not observed itself, and from at most two peers, the second one only if it is worse.
 //    A report of no free capacity leads to a probe.
 //  - Facts carry their age, which grows on the way, and expire. Clocks of members are not compared.
 #ifndef HERONWAY_CLUSTER_TARGET_GOSSIP_TARGET_GOSSIP_H_
@@ -38,7 +38,7 @@
 
 class TargetGossip {
  public:
-  // Facts older than this are ignored.
+  // Facts that are older than the limit for their kind are ignored.
   static constexpr Micros kFailingMaxAge = 2'000'000;
   static constexpr Micros kStartedMaxAge = 30'000'000;    // covers slow start and a late discovery list
   static constexpr Micros kLoadMaxAge = 1'500'000;        // the module does not use older reports
@@ -53,7 +53,8 @@
   TargetGossip(std::string_view self, std::uint64_t seed);
   static std::uint64_t HashOf(std::string_view name);
 
-  // Records an observation of this scheduler and queues it. `since`: kStarted only, Unix time in microseconds.
+  // Records an observation of this scheduler and queues it, unless the same was queued recently. `since`:
+  // kStarted only, Unix time in microseconds.
   void RecordEvent(Micros now, FactKind kind, std::uint64_t target, Micros since = 0);
   // Records that the target answered this scheduler.
   void RecordHealthy(Micros now, std::uint64_t target);
@@ -61,7 +62,8 @@
   void RecordLoad(Micros now, std::uint64_t target, std::uint16_t waiting, std::uint16_t free);
   // Appends this scheduler's own observations with their ages, for a member that has just started.
   void AppendOwnFacts(Micros now, std::vector<Fact>& out) const;
-  // Handles a fact from another scheduler and appends what it suggests. `schedulers`: the fleet's size.
+  // Handles a fact from another scheduler and appends what it suggests. `schedulers`: how many
+  // schedulers share the probes.
   void HandleFact(Micros now, const Fact& fact, int schedulers, std::vector<TargetAdvice>& advice);
   // Appends queued facts that fit into `max_bytes`, with updated ages. Each fact is sent `max_sends` times.
   void Fill(Micros now, std::size_t max_bytes, int max_sends, std::vector<Fact>& out);
