--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -78,7 +78,7 @@
     for (const auto& c : settings_.classes) {
       usual_run_time_.push_back(static_cast<double>(c.aim));
       scarce_kinds_.push_back(0);
-      longest_patience_.push_back(0);
+      longest_time_limit_.push_back(0);
       held_count_.push_back(0);
       last_push_.push_back(now);
       for (const auto& other : settings_.classes) {
@@ -180,8 +180,8 @@
   void ApplyReport(Index i, const Report& report, Micros age = 0) {
     Worker& w = workers_[i];
     if (age > 0 && w.observed_at >= now_ - age) return;
-    std::erase_if(w.own_pushes,
-                  [&](Micros sent) { return sent <= now_ - age - kReportLag; });  // included in the report
+    // Older pushes are included in the report.
+    std::erase_if(w.own_pushes, [&](Micros sent) { return sent <= now_ - age - kReportLag; });
     double free = report.free_slots.value_or(1);
     if (report.free_memory) free = std::min(free, *report.free_memory);
     if (!held_.empty()) {
@@ -249,8 +249,8 @@
       if (HasWorkers(pool)) return pool;
     }
     const Pool trusted{0, last, kinds, ~kEjectedBuckets};
-    return {0, last, kinds,
-            HasWorkers(trusted) ? 0 : kEjectedBuckets};  // panic mode: an ejected worker is better than none
+    // Panic mode: an ejected worker is better than none.
+    return {0, last, kinds, HasWorkers(trusted) ? 0 : kEjectedBuckets};
   }
   static std::uint64_t BucketsWithCapacity(double slots) {
     const int most = kBucketDepth - std::clamp(static_cast<int>(std::ceil(slots)), 1, kBucketDepth);
@@ -360,8 +360,8 @@
     job.request = r;
     const ClassSettings& c = *(job.class_settings = &settings_.classes[r.job_class]);
     // A client's retry has less time left than its first request had. The objective counts from that request.
-    Micros& longest = longest_patience_[r.job_class] =
-        std::max(longest_patience_[r.job_class], r.deadline - now_);
+    Micros& longest = longest_time_limit_[r.job_class] =
+        std::max(longest_time_limit_[r.job_class], r.deadline - now_);
     job.first_requested_at = r.deadline - longest;
     if (r.key != 0) job.key_share = key_shares_.Count(r.key);
     const double run = ExpectedRun(job);
@@ -600,8 +600,8 @@
       w.own_pushes.erase(own);
     RecordHealth(job, a, o);
     if (o.report) ApplyReport(a.worker, *o.report);
-    if (o.result == Result::kOk && w.queue < 0.5 && o.report && w.free_slots < 1)
-      w.free_slots = 1;  // the slot of this attempt
+    // The slot of this attempt is free again.
+    if (o.result == Result::kOk && w.queue < 0.5 && o.report && w.free_slots < 1) w.free_slots = 1;
     if (o.result == Result::kFull) RecordLoad(a.worker, std::max(1.0, w.queue), 0);
     Rebucket(a.worker);
     if (job.ended) {
@@ -800,8 +800,8 @@
     Job& job = *found;
     const Attempt a = job.attempts[t.attempt];
     if (!a.outstanding || job.ended || a.started >= 0) return;
-    RecordLoad(a.worker, std::max(1.0, workers_[a.worker].queue),
-               0);  // the job is queued, so the worker is full whatever it reported
+    // The job is queued, so the worker is full whatever it reported.
+    RecordLoad(a.worker, std::max(1.0, workers_[a.worker].queue), 0);
     Rebucket(a.worker);
   }
 };
--- a/src/state.h
+++ b/src/state.h
@@ -250,7 +250,7 @@
   Micros subscribe_backoff_ = 500'000;
 
   std::vector<std::uint64_t> scarce_kinds_;  // for each class: kinds that a class of higher worth needs
-  std::vector<Micros> longest_patience_;     // for each class: longest time that a client allowed
+  std::vector<Micros> longest_time_limit_;   // for each class: longest time that a client allowed
   std::vector<double> usual_run_time_;       // for each class
   std::vector<int> held_count_;              // for each class: held jobs
   std::vector<Micros> last_push_;            // for each class: time of the last push
--- a/tests/draw_test.cpp
+++ b/tests/draw_test.cpp
@@ -66,9 +66,8 @@
   EXPECT_GT(node.dispatcher().DrawChances(0)[1], 0) << "its own observation is later";
   node.ProbeReply(2, Load(4, 0));
   EXPECT_TRUE(OfType<Push>(node.Send(1)).empty()) << "both are full";
-  node.Advance(
-      510 *
-      kMs);  // the peer's report of worker 1 is over a second old now, the own report of worker 2 is not
+  // The peer's report of worker 1 is now over a second old; the own report of worker 2 is not.
+  node.Advance(510 * kMs);
   const auto pushes = OfType<Push>(node.Send(2));
   ASSERT_FALSE(pushes.empty());
   EXPECT_EQ(pushes[0].worker, 1u);
@@ -198,8 +197,8 @@
   Node node(site);
   node.List(ListKind::kCached, {Entry(1, 0), Entry(2, 1), Entry(3, 0)});
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{0, 1, 0}));
-  node.ProbeReply(1,
-                  Load(0, 3));  // known free capacity in another zone beats an unreported worker in this one
+  // Known free capacity in another zone is better than an unreported worker in this one.
+  node.ProbeReply(1, Load(0, 3));
   EXPECT_EQ(node.dispatcher().DrawChances(0), (std::vector<double>{1, 0, 0}));
 }
 
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -97,11 +97,11 @@
   std::vector<Action> List(ListKind kind, const std::vector<WorkerEntry>& workers) {
     return Feed(Membership{kind, workers});
   }
-  std::vector<Action> Send(RequestId id, int job_class = 0, Micros patience = 10 * kS) {
+  std::vector<Action> Send(RequestId id, int job_class = 0, Micros time_limit = 10 * kS) {
     Request r;
     r.id = id;
     r.job_class = job_class;
-    r.deadline = now_ + patience;
+    r.deadline = now_ + time_limit;
     return Feed(r);
   }
   std::vector<Action> End(RequestId id, int attempt, WorkerId worker, Result result, bool finished = false,
--- a/tests/request_lifecycle_test.cpp
+++ b/tests/request_lifecycle_test.cpp
@@ -114,8 +114,8 @@
   r.hint = 1 * kS;
   node.Feed(r);
   EXPECT_TRUE(OfType<Shed>(node.Run(3'900 * kMs)).empty());
-  EXPECT_EQ(OfType<Shed>(node.Run(200 * kMs)).size(),
-            1u);  // objective 1 s + 2 x 1 s, minus the run of 1 s, + 2 x 1 s
+  // Objective 1 s + 2 x 1 s, minus the run of 1 s, + 2 x 1 s.
+  EXPECT_EQ(OfType<Shed>(node.Run(200 * kMs)).size(), 1u);
 }
 
 // With four of ten workers down, jobs were shed that still had twice their usual running time to spare.
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -159,8 +159,8 @@
     const auto pushes = OfType<Push>(node.Feed(r));
     ASSERT_EQ(pushes.size(), 1u);
     EXPECT_EQ(pushes[0].worker, 4u);
-    EXPECT_TRUE(OfType<Push>(node.End(r.id, 0, 4, Result::kFull))
-                    .empty());  // held rather than sent to another worker
+    // Held rather than sent to another worker.
+    EXPECT_TRUE(OfType<Push>(node.End(r.id, 0, 4, Result::kFull)).empty());
     const auto later = OfType<Push>(node.ProbeReply(4, Load(0, 2)));
     for (const Push& p : later) EXPECT_EQ(p.worker, 4u);
     node.End(r.id, 1, 4, Result::kOk, true, Load(0, 2));
