--- a/src/cluster/log/codec.h
+++ b/src/cluster/log/codec.h
@@ -12,7 +12,7 @@
 namespace heronway::cluster::log {
 
 inline constexpr int kFormatVersion = 1;
-inline constexpr std::size_t kMaxServers = 32;                  // voters of a group; also learners
+inline constexpr std::size_t kMaxServers = 32;                  // limit for voters and for learners
 inline constexpr std::size_t kMaxMessageEntries = 8'192;        // in one message
 inline constexpr std::size_t kMaxDataBytes = 32 * 1024 * 1024;  // of an entry or a snapshot chunk
 
--- a/src/cluster/log/replication.cpp
+++ b/src/cluster/log/replication.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Approximate overhead of an entry beyond its data; counted towards the size limits of messages.
-constexpr std::size_t kEntryBytes = 32;
+constexpr std::size_t kEntryOverheadBytes = 32;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
     std::size_t bytes = 0;
     while (has_entries && p.next_index <= last_index() && bytes < settings_.max_message_bytes) {
       m.entries.push_back(entries_[p.next_index - base_index_ - 1]);
-      bytes += m.entries.back()->data.size() + kEntryBytes;
+      bytes += m.entries.back()->data.size() + kEntryOverheadBytes;
       ++p.next_index;
     }
     if (has_entries) {
