--- a/bench/storm/world.cpp
+++ b/bench/storm/world.cpp
@@ -205,11 +205,11 @@
       case Kind::kFinish:
         return Finish(h.a, static_cast<int>(h.b));
       case Kind::kHopNews: {
-        core::HopNews news;
+        core::HopCallback news;
         news.id = std::to_string(h.a);
         news.from = (h.b >> 3) + 1;
-        news.news = static_cast<core::News>(h.b & 7);
-        if (news.news != core::News::kStarted) {
+        news.state = static_cast<core::CallbackState>(h.b & 7);
+        if (news.state != core::CallbackState::kStarted) {
           const Worker& w = workers_[h.b >> 3];
           const pebblenotch::Report report = ReportTo(w, h.who);
           news.report = report;
@@ -240,7 +240,7 @@
         return Post(s, ended);
       }
       case Kind::kCalledOff:
-        return Post(h.who, core::HopCalledOff{h.a, static_cast<int>(h.b), false});
+        return Post(h.who, core::HopCancelled{h.a, static_cast<int>(h.b), false});
       case Kind::kDie:
         return Die();
       case Kind::kReturn: {
@@ -263,7 +263,7 @@
         ++out_.unanswered;
         it->second.answered = true;
         if (OfFresh(it->second)) ++out_.fresh.lost;
-        Post(it->second.scheduler, core::IngressGone{h.a});
+        Post(it->second.scheduler, core::IngressDisconnected{h.a});
         return Again(it->second.client, it->second.serial, -1, false);
       }
       case Kind::kFresh:
@@ -312,7 +312,7 @@
     r.serial = c.serial;
     r.came = now_;
     r.deadline = now_ + plan_.deadline;
-    core::Arrived a;
+    core::RequestArrived a;
     a.id = std::to_string(ticket);
     a.request.id = ticket;
     a.request.job_class = c.job_class;
@@ -354,7 +354,7 @@
       for (core::Effect& effect : effects) {
         if (auto* send = std::get_if<core::SendHop>(&effect)) {
           Send(scheduler, *send);
-        } else if (auto* off = std::get_if<core::CallOffHop>(&effect)) {
+        } else if (auto* off = std::get_if<core::CancelHop>(&effect)) {
           At(2 * kLink, Kind::kCalledOff, scheduler, off->request, static_cast<std::uint64_t>(off->hop));
           const auto it = requests_.find(off->request);
           if (it != requests_.end()) {
@@ -471,12 +471,12 @@
   void Begin(Worker& w, std::uint64_t id) {
     const Task& t = tasks_.at(id);
     w.running.push_back(id);
-    Tell(t, core::News::kStarted);
+    Tell(t, core::CallbackState::kStarted);
     At(static_cast<Micros>(t.work / Share(w)), Kind::kFinish, t.worker, id,
        static_cast<std::uint64_t>(w.incarnation));
   }
 
-  void Tell(const Task& t, core::News news) {
+  void Tell(const Task& t, core::CallbackState news) {
     At(kLink, Kind::kHopNews, t.scheduler, t.ticket,
        static_cast<std::uint64_t>(t.worker) << 3 | static_cast<std::uint64_t>(news));
   }
@@ -494,7 +494,7 @@
       w.queue.pop_front();
       Begin(w, next);
     }
-    Tell(t, core::News::kDone);
+    Tell(t, core::CallbackState::kDone);
   }
 
   void Kill(int worker) {
@@ -598,10 +598,10 @@
     for (const cluster::Hint& h : hints) {
       if (h.kind == cluster::FactKind::kLoad) {
         ++out_.fresh.learnt;
-        Post(fresh, core::HeardLoad{h.target, cluster::ToReport(h), h.age});
+        Post(fresh, core::GossipedLoad{h.target, cluster::ToReport(h), h.age});
       } else if (h.kind == cluster::FactKind::kFailing) {
         ++out_.fresh.looked;
-        Post(fresh, core::Doubted{h.target});
+        Post(fresh, core::TargetSuspected{h.target});
       }
     }
   }
--- a/src/cluster/copies/any_door.cpp
+++ b/src/cluster/copies/any_door.cpp
@@ -6,7 +6,7 @@
 
 namespace heronway::cluster::copies {
 
-void Copies::Lead(const std::string& front, const core::HopNews& news, Doors::Told told) {
+void Copies::Lead(const std::string& front, const core::HopCallback& news, Doors::Told told) {
   std::vector<std::string> others;
   // Guards against word that is thrown away while whoever holds its job is out of sight, and may be back.
   bool lately_gone = false;
--- a/src/cluster/copies/copies.h
+++ b/src/cluster/copies/copies.h
@@ -57,7 +57,8 @@
     // Nothing of it is in hand; from the first asking on nothing is begun.
     std::function<bool(const std::string& group, const std::string& front)> idle;
     // A worker's word that reached another. `told`: whether it is stored. False: no such job is held here.
-    std::function<bool(const std::string& front, core::HopNews news, std::function<void(bool)> told)> word;
+    std::function<bool(const std::string& front, core::HopCallback news, std::function<void(bool)> told)>
+        word;
     // Whether a job is known here; told perhaps within.
     std::function<void(const std::string& front, const JobName& name, std::function<void(Verdict)> told)>
         find;
@@ -75,7 +76,7 @@
   // Who is there, from membership; before it is given, nobody is asked to keep a copy.
   void Watch(std::function<std::vector<Seen>()> members) { members_ = std::move(members); }
   // Leads a worker's word to whoever holds its job, where this scheduler does not.
-  void Lead(const std::string& front, const core::HopNews& news, Doors::Told told);
+  void Lead(const std::string& front, const core::HopCallback& news, Doors::Told told);
   // Whether a job that this scheduler does not know is known to another, which may hold what this one took
   // before it lost its disk. `told` is called once, within `patience` microseconds, perhaps at once.
   void LookUp(const std::string& front, JobName name, Micros patience, std::function<void(Verdict)> told);
--- a/src/cluster/copies/doors.cpp
+++ b/src/cluster/copies/doors.cpp
@@ -11,22 +11,22 @@
 
 }  // namespace
 
-std::string EncodeWord(const core::HopNews& news) {
+std::string EncodeWord(const core::HopCallback& news) {
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(4);
-  out.pack(news.id).pack(news.from).pack(static_cast<int>(news.news)).pack(news.result);
+  out.pack(news.id).pack(news.from).pack(static_cast<int>(news.state)).pack(news.result);
   return {bytes.data(), bytes.size()};
 }
 
-std::optional<core::HopNews> DecodeWord(std::string_view bytes) {
+std::optional<core::HopCallback> DecodeWord(std::string_view bytes) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
     pack::Members in(whole.get(), 4);
-    core::HopNews news;
+    core::HopCallback news;
     news.id = in.Next().as<std::string>();
     news.from = in.Number<core::TargetId>(0, ~core::TargetId{0});
-    news.news = in.Enum(core::News::kLost);
+    news.state = in.Enum(core::CallbackState::kLost);
     news.result = in.Next().as<std::string>();
     pack::Members::Need(!news.id.empty() && news.id.size() <= kMostId &&
                         news.result.size() <= Doors::kMostResult);
--- a/src/cluster/copies/doors.h
+++ b/src/cluster/copies/doors.h
@@ -21,8 +21,8 @@
 enum class Heard : std::uint8_t { kNobody, kTaken, kNotNow };
 
 // A worker's word as it goes from member to member: id, target, news and result. `front` goes beside it.
-std::string EncodeWord(const core::HopNews& news);
-std::optional<core::HopNews> DecodeWord(std::string_view bytes);
+std::string EncodeWord(const core::HopCallback& news);
+std::optional<core::HopCallback> DecodeWord(std::string_view bytes);
 
 class Doors {
  public:
--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -50,7 +50,7 @@
     if (!id) break;
     Flush();
     const int home = keeper_->HomeOf(*id);
-    effects_->push_back(Resume{std::move(*id), home});
+    effects_->push_back(StartRound{std::move(*id), home});
   }
   Flush();
   const Micros next = drain_began_ < 0 ? keeper_->next(now_) : -1;
@@ -81,7 +81,7 @@
   ++rounds_;
   ++counters_.failed;
   ++CountsOf(job.job_class).errored;
-  if (job.tenant != Tenants::kNone) ++tenants_.At(job.tenant).failed;
+  if (job.tenant != TenantTable::kNone) ++tenants_.At(job.tenant).failed;
   effects_->push_back(Answer{ticket, AnswerKind::kFailed, 0, {}, false, job.deadline, job.home});
 }
 
@@ -107,20 +107,20 @@
 
 namespace {
 
-durable::Keeper::Said SaidBy(News news) {
+durable::Keeper::Said SaidBy(CallbackState news) {
   using Said = durable::Keeper::Said;
   switch (news) {
-    case News::kStarted:
+    case CallbackState::kStarted:
       return Said::kStarted;
-    case News::kRunning:
+    case CallbackState::kRunning:
       return Said::kRunning;
-    case News::kDone:
+    case CallbackState::kDone:
       return Said::kDone;
-    case News::kFailed:
+    case CallbackState::kFailed:
       return Said::kFailed;
-    case News::kReturned:
+    case CallbackState::kReturned:
       return Said::kReturned;
-    case News::kLost:
+    case CallbackState::kLost:
       break;
   }
   return Said::kLost;
@@ -130,38 +130,38 @@
 
 // A hop's word while its round is on. A failure within a client's wait is one hop's end: the module may try
 // another.
-void Reducer::TellKeeper(const Job& job, int hop, const HopNews& e) {
-  if (e.news == News::kFailed && !job.round) return;
-  keeper_->Word(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.news), e.result,
+void Reducer::TellKeeper(const Job& job, int hop, const HopCallback& e) {
+  if (e.state == CallbackState::kFailed && !job.round) return;
+  keeper_->Word(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.state), e.result,
                 records_);
 }
 
 // Word of a job that no round is on for: its holder had it from before a crash, or lost it meanwhile.
-void Reducer::OrphanNews(const HopNews& e) {
+void Reducer::OrphanNews(const HopCallback& e) {
   const auto epoch = keeper_->EpochOf(e.id, e.from);
   if (epoch == 0 || keeper_->InHand(e.id) ||
-      !keeper_->Word(now_, e.id, epoch, SaidBy(e.news), e.result, records_))
-    ++counters_.late_news;
+      !keeper_->Word(now_, e.id, epoch, SaidBy(e.state), e.result, records_))
+    ++counters_.late_callbacks;
 }
 
-void Reducer::On(Submitted& e) { keeper_->Take(now_, e.id, std::move(e.task), false, records_); }
+void Reducer::On(JobSubmitted& e) { keeper_->Take(now_, e.id, std::move(e.task), false, records_); }
 
-void Reducer::On(RoundVoid& e) {
+void Reducer::On(RoundInvalid& e) {
   keeper_->RoundOver(now_, e.id, durable::Keeper::RoundEnd::kRejected, 0, records_);
 }
 
-void Reducer::On(TargetAlive& e) {
+void Reducer::On(TargetHeartbeat& e) {
   if (keeper_) keeper_->Alive(now_, e.target, records_);
 }
 
-void Reducer::On(OrderCame& e) {
+void Reducer::On(OperatorOrder& e) {
   if (e.order.verb == "retry") keeper_->Retry(now_, e.order.id, records_);
   if (e.order.verb == "discard") keeper_->Discard(now_, e.order.id, records_);
 }
 
-void Reducer::On(StoreRead&) { keeper_->Recovered(now_, records_); }
+void Reducer::On(StoreLoaded&) { keeper_->Recovered(now_, records_); }
 
-void Reducer::On(JobsTaken& e) {
+void Reducer::On(JobsAdopted& e) {
   if (e.first) keeper_->HomeComes();
   for (auto& [id, job] : e.jobs) keeper_->Adopt(now_, e.home, id, std::move(job), e.clock_broke, records_);
 }
--- a/src/core/invariants.h
+++ b/src/core/invariants.h
@@ -11,16 +11,16 @@
 namespace heronway::core {
 
 enum class Invariant : std::uint8_t {
-  kOneAttemptOut,   // an attempt begins while another of its request is out, and copies are not allowed
-  kRepeatAllowed,   // an attempt begins though an earlier one may have run, and its class allows no repeat
+  kOneHopInFlight,  // an attempt begins while another of its request is out, and copies are not allowed
+  kRetryAllowed,    // an attempt begins though an earlier one may have run, and its class allows no repeat
   kTimeLeft,        // an attempt begins with no time left to its client
   kSlowStartToken,  // an attempt goes to a server in slow start without a token
   kAnsweredBeforeClose,  // a client's connection is ended here while its request waits for an answer
   kAnsweredBeforeExit,   // the process exits while a request waits for an answer
-  kListInForce,          // an attempt is decided on while the list of targets may not be acted on
+  kRouteListInForce,     // an attempt is decided on while the list of targets may not be acted on
 };
-inline constexpr std::size_t kInvariants = 7;
-inline constexpr std::array<const char*, kInvariants> kInvariantNames = {
+inline constexpr std::size_t kInvariantCount = 7;
+inline constexpr std::array<const char*, kInvariantCount> kInvariantNames = {
     "one_attempt_out",       "repeat_allowed",       "time_left",    "slow_start_token",
     "answered_before_close", "answered_before_exit", "list_in_force"};
 
@@ -42,7 +42,7 @@
   }
 
  private:
-  std::array<std::uint64_t, kInvariants> violations_{};
+  std::array<std::uint64_t, kInvariantCount> violations_{};
 };
 
 }  // namespace heronway::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -23,7 +23,7 @@
   if (keeper_) OfferRounds();
   // Durable jobs that are at work need no answer before the end, only some time to have one.
   const bool rounds_over = rounds_ == 0 || now_ >= drain_began_ + stop_times_.answers_due;
-  if (drain_began_ >= 0 && !drained_ && held() == 0 && rounds_over &&
+  if (drain_began_ >= 0 && !drained_ && pending() == 0 && rounds_over &&
       now_ >= drain_began_ + stop_times_.earliest_exit) {
     drained_ = true;
     effects.push_back(Drained{});
@@ -34,7 +34,7 @@
     effects.push_back(StormChanged{std::move(*change)});
   }
   if (limits_ && limits_->state() != limits::StormState::kCalm && !std::exchange(watching_, true))
-    due_.push({now_ + kWatchStorm, 0, 3, 0});
+    due_.push({now_ + kStormCheckInterval, 0, 3, 0});
   if (!due_.empty() && due_.top().at != armed_) effects.push_back(WakeAt{armed_ = due_.top().at});
   effects_ = nullptr;
 }
@@ -65,10 +65,10 @@
     if (limits_) limits_->HopSent(now_, job.job_class, hop > 0);
     Micros limit = job.deadline - now_;
     if (push->time_limit > 0) limit = std::min(limit, push->time_limit);
-    if (job.hop_limit > 0) limit = std::min(limit, job.hop_limit);
+    if (job.hop_timeout > 0) limit = std::min(limit, job.hop_timeout);
     // Guards the attempt limit, a push after the end, and one for a client that has gone: such a hop is never
     // sent.
-    if (job.answered || job.away || hop >= job.most_hops || limit <= 0 || !MayBegin(job, limit))
+    if (job.answered || job.away || hop >= job.max_hops || limit <= 0 || !MayBegin(job, limit))
       return EndHop(push->id, hop, Result::kMoot, std::nullopt, job.answered);
     if (job.durable) {
       const auto to = holders_.find(push->worker);
@@ -122,8 +122,8 @@
     out |= job.hops[i].state != HopState::kEnded;
     may_have_run |= job.hops[i].may_have_run;
   }
-  const bool alone = invariants.Check(Invariant::kOneAttemptOut, !out || settings_.second_copies);
-  const bool repeatable = invariants.Check(Invariant::kRepeatAllowed, !(unsafe && may_have_run));
+  const bool alone = invariants.Check(Invariant::kOneHopInFlight, !out || settings_.second_copies);
+  const bool repeatable = invariants.Check(Invariant::kRetryAllowed, !(unsafe && may_have_run));
   const bool in_time = invariants.Check(Invariant::kTimeLeft, limit <= job.deadline - now_);
   return alone && repeatable && in_time;
 }
@@ -134,7 +134,7 @@
   return all;
 }
 
-void Reducer::On(Arrived& e) {
+void Reducer::On(RequestArrived& e) {
   const Ticket ticket = e.request.id;
   ++counters_.taken;
   ++held_;
@@ -147,27 +147,28 @@
   job.id = std::move(e.id);
   job.deadline = e.request.deadline;
   job.came_at = now_;
-  job.hop_limit = e.hop_limit;
-  job.most_hops = e.most_hops > 0 ? std::min(e.most_hops, settings_.max_attempts) : settings_.max_attempts;
+  job.hop_timeout = e.hop_timeout;
+  job.max_hops = e.max_hops > 0 ? std::min(e.max_hops, settings_.max_attempts) : settings_.max_attempts;
   job.job_class = e.request.job_class;
   job.round = e.round;
   job.durable = e.round || e.task.has_value();
   rounds_ += e.round ? 1 : 0;
   if (e.task) job.durable = keeper_->Take(now_, job.id, std::move(*e.task), true, records_);
   job.home = job.durable ? keeper_->HomeOf(job.id) : 0;
-  if (!e.tenant.empty()) ++tenants_.At(job.tenant = tenants_.Of(e.tenant)).taken;
+  if (!e.tenant.empty()) ++tenants_.At(job.tenant = tenants_.IndexOf(e.tenant)).taken;
   if (limits_) {
     job.client = limits_->HashOf(e.client, job.job_class);
-    job.came = limits_->Arrived(now_, job.job_class, job.client, e.request.client_repeat, e.client_is_job);
+    job.came = limits_->Arrived(now_, job.job_class, job.client, e.request.client_repeat, e.client_names_job);
     e.request.standing = job.came.standing;
   }
   // Guards the first rule at the end of a planned stop: what comes after the late arrivals' answers were
   // due would find the program killed unanswered; it is refused at once, and its client comes again,
   // to the process that replaces this one, or to another.
-  if (e.no_room || RefusesAll(now_)) {
+  if (e.no_capacity || ShedsAllArrivals(now_)) {
     GiveFigures();
     const Micros wait =
-        limits_ ? limits_->Refused(now_, job.job_class, job.client, kNoRoomWait, job.came) : kNoRoomWait;
+        limits_ ? limits_->Refused(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.came)
+                : kNoCapacityRetryAfter;
     return FinalAnswer(ticket, AnswerKind::kShed, wait, {});
   }
   Tell(e.request);
@@ -176,16 +177,16 @@
 // Guards against call-backs that come twice, before the carrier's own answer, or late from a hop that was
 // called off: only the hop that is out, at the target that speaks, is meant. A request goes to no target
 // twice (the module sets those aside), so the target's name tells the hop.
-void Reducer::On(HopNews& e) {
+void Reducer::On(HopCallback& e) {
   const auto it = by_id_.find(e.id);
   const auto job = it == by_id_.end() ? jobs_.end() : jobs_.find(it->second);
-  const auto late = [this] { ++counters_.late_news; };
+  const auto late = [this] { ++counters_.late_callbacks; };
   if (job == jobs_.end() && keeper_) return OrphanNews(e);
   if (job == jobs_.end()) return late();
   const Ticket ticket = it->second;
   auto& hops = job->second.hops;
   // A last word may cross the calling off, and says more: what has come of the hop, or that it never ran.
-  const bool last = e.news != News::kStarted && e.news != News::kRunning;
+  const bool last = e.state != CallbackState::kStarted && e.state != CallbackState::kRunning;
   const bool crosses = last && !job->second.durable;
   const auto hop = std::find_if(hops.begin(), hops.end(), [&e, crosses](const Hop& h) {
     return h.target == e.from && (h.state == HopState::kOut || (crosses && h.state == HopState::kCallingOff));
@@ -193,30 +194,30 @@
   if (hop == hops.end()) return job->second.durable ? OrphanNews(e) : late();
   const int n = static_cast<int>(hop - hops.begin());
   hop->taken = true;
-  if (last) effects_->push_back(HopOver{ticket, n});
+  if (last) effects_->push_back(HopCompleted{ticket, n});
   if (job->second.durable) TellKeeper(job->second, n, e);
-  switch (e.news) {
-    case News::kStarted:
-    case News::kRunning:
-      return Tell(pebblenotch::Note{ticket, n, e.news == News::kStarted, e.share});
-    case News::kDone:
+  switch (e.state) {
+    case CallbackState::kStarted:
+    case CallbackState::kRunning:
+      return Tell(pebblenotch::Note{ticket, n, e.state == CallbackState::kStarted, e.share});
+    case CallbackState::kDone:
       FinalAnswer(ticket, AnswerKind::kServed, 0, std::move(e.result));
       return EndHop(ticket, n, Result::kOk, e.report, true);
-    case News::kFailed:
+    case CallbackState::kFailed:
       // Where no client waits, the time for another try is the keeper's to say.
       if (job->second.round) {
         FinalAnswer(ticket, AnswerKind::kFailed, 0, {});
         return EndHop(ticket, n, Result::kError, e.report, true);
       }
       return EndHop(ticket, n, Result::kError, e.report, false);
-    case News::kReturned:
+    case CallbackState::kReturned:
       return EndHop(ticket, n, Result::kFull, e.report, false);
-    case News::kLost:
+    case CallbackState::kLost:
       return EndHop(ticket, n, Result::kReset, e.report, false);
   }
 }
 
-void Reducer::On(HopTaken& e) {
+void Reducer::On(HopAccepted& e) {
   if (Hop* hop = FindHop(e.request, e.hop); hop != nullptr) hop->taken = true;
 }
 
@@ -230,7 +231,7 @@
   EndHop(e.request, e.hop, e.result, e.report, false);
 }
 
-void Reducer::On(HopCalledOff& e) {
+void Reducer::On(HopCancelled& e) {
   const Hop* hop = FindHop(e.request, e.hop);
   if (hop == nullptr || hop->state != HopState::kCallingOff) return;
   // Where targets are dialled, one that could not be reached in the hop's time is told apart from a hop that
@@ -242,31 +243,31 @@
 
 void Reducer::On(ProbeEnded& e) { Tell(pebblenotch::ProbeResult{e.target, e.result, e.latency, e.report}); }
 
-void Reducer::On(IngressGone& e) {
+void Reducer::On(IngressDisconnected& e) {
   const auto it = jobs_.find(e.request);
   if (it == jobs_.end() || it->second.answered) return;
   if (it->second.durable) {  // it was taken for good: it goes on, and its client may come back for it
     if (!std::exchange(it->second.round, true)) {
       ++rounds_;
-      ++counters_.gone;
+      ++counters_.disconnected;
     }
     return;
   }
   it->second.answered = true;
   --held_;
-  ++counters_.gone;
-  if (it->second.tenant != Tenants::kNone) ++tenants_.At(it->second.tenant).gone;
+  ++counters_.disconnected;
+  if (it->second.tenant != TenantTable::kNone) ++tenants_.At(it->second.tenant).disconnected;
   Release(it->second.id);
   Tell(pebblenotch::ClientGone{e.request});
   ForgetIfOver(e.request);
 }
 
-void Reducer::On(IngressAway& e) {
+void Reducer::On(IngressDetached& e) {
   if (const auto it = jobs_.find(e.request); it != jobs_.end())
     it->second.away = e.away && !it->second.durable;
 }
 
-void Reducer::On(IngressCame&) {
+void Reducer::On(IngressConnected&) {
   if (limits_) limits_->Connected(now_);
 }
 
@@ -304,7 +305,7 @@
     const bool last = now_ >= jobs_.at(due.request).deadline;
     if (hop->state == HopState::kOut) {
       CallOff(due.request, due.hop, Result::kTimeout);
-      if (last) due_.push({now_ + kTellGrace, due.request, due.hop, 0});
+      if (last) due_.push({now_ + kCancelGrace, due.request, due.hop, 0});
     } else if (last) {
       EndHop(due.request, due.hop, hop->called_off_as, std::nullopt, false);
     }
@@ -319,18 +320,18 @@
   GiveFigures();
 }
 
-void Reducer::On(FleetSeen& e) {
+void Reducer::On(FleetView& e) {
   if (e.schedulers != std::exchange(fleet_, e).schedulers) Tell(pebblenotch::TierSize{e.schedulers});
 }
 
 // The probe's own result is what the module judges by; what others said is not.
-void Reducer::On(Doubted& e) {
+void Reducer::On(TargetSuspected& e) {
   if (!settings_.may_probe) return;
   ++counters_.probes;
   effects_->push_back(StartProbe{e.target});
 }
 
-void Reducer::On(HeardLoad& e) {
+void Reducer::On(GossipedLoad& e) {
   Tell(pebblenotch::ProbeResult{e.target, Result::kOk, 0, e.report, std::max<Micros>(e.age, 1)});
 }
 
@@ -340,7 +341,7 @@
   if (const auto figures = limits_ ? limits_->Due(now_) : std::nullopt) module_.handle(now_, *figures, none);
 }
 
-void Reducer::On(DrainBegun&) {
+void Reducer::On(DrainStarted&) {
   if (drain_began_ >= 0) return;
   drain_began_ = now_;
   due_.push({now_ + stop_times_.earliest_exit, 0, 1, 0});
@@ -359,7 +360,7 @@
   std::sort(tickets.begin(), tickets.end());
   for (const Ticket ticket : tickets) {
     const Job& job = jobs_.at(ticket);
-    if (job.durable && job.came_at < drain_began_ + StopTimes::kLateArrivals - kAnswerMargin) {
+    if (job.durable && job.came_at < drain_began_ + StopTimes::kLateArrivalWindow - kAnswerMargin) {
       AnswerAndGoOn(ticket);
       continue;
     }
@@ -383,9 +384,9 @@
   if (h == nullptr || h->state != HopState::kOut) return;
   h->state = HopState::kCallingOff;
   h->called_off_as = as;
-  ++counters_.called_off;
+  ++counters_.cancelled;
   const Job& job = jobs_.at(ticket);
-  effects_->push_back(CallOffHop{ticket, hop, h->target, job.id, job.durable, job.home});
+  effects_->push_back(CancelHop{ticket, hop, h->target, job.id, job.durable, job.home});
 }
 
 void Reducer::EndHop(Ticket ticket, int hop, Result result, std::optional<Report> report, bool finished) {
@@ -426,8 +427,8 @@
   ++(kind == AnswerKind::kServed ? of_class.answered
      : kind == AnswerKind::kShed ? of_class.deferred
                                  : of_class.errored);
-  if (const auto place = it->second.tenant; place != Tenants::kNone) {
-    Tenants::Row& row = tenants_.At(place);
+  if (const auto place = it->second.tenant; place != TenantTable::kNone) {
+    TenantTable::Row& row = tenants_.At(place);
     ++(kind == AnswerKind::kServed ? row.served : kind == AnswerKind::kShed ? row.shed : row.failed);
   }
   Release(it->second.id);
@@ -451,7 +452,7 @@
 void Reducer::Release(const std::string& id) {
   by_id_.erase(id);
   while (!released_.empty() &&
-         (released_.front().first < now_ - kRemember || released_.size() >= kMostRemembered)) {
+         (released_.front().first < now_ - kIdRetention || released_.size() >= kMaxRetainedIds)) {
     recent_.erase(released_.front().second);
     released_.pop_front();
   }
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -38,28 +38,28 @@
 using TargetId = pebblenotch::WorkerId;
 
 // ---- events
-struct Arrived {
+struct RequestArrived {
   pebblenotch::Request request;       // its `id` is the ticket; its `deadline` is when the client gives up
   std::string id;                     // the name that the wire gives it; no two requests held have the same
-  Micros hop_limit = 0;               // the longest that one hop may take; 0: until the client gives up
-  int most_hops = 0;                  // the client wants no more than this; 0: as many as the site allows
+  Micros hop_timeout = 0;             // the longest that one hop may take; 0: until the client gives up
+  int max_hops = 0;                   // the client wants no more than this; 0: as many as the site allows
   std::string client;                 // by which a repeat is known again; empty: by nothing
-  bool client_is_job = true;          // `client` names the job itself, so that to see it again is a repeat
+  bool client_names_job = true;       // `client` names the job itself, so that to see it again is a repeat
   std::string tenant;                 // whose it is, for the counts; empty: nobody's
   std::optional<durable::Task> task;  // durable: taken with this, and its first round begins
   bool round = false;                 // durable: another round of a job that was taken; no client waits
-  bool no_room = false;  // the front cannot hold it: it is refused at once, with a time to come back
+  bool no_capacity = false;  // the front cannot hold it: it is refused at once, with a time to come back
 };
-enum class News : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
-struct HopNews {  // what a target reports of a request, by the names of the wire
+enum class CallbackState : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
+struct HopCallback {  // what a target reports of a request, by the names of the wire
   std::string id;
   TargetId from = 0;
-  News news = News::kStarted;
+  CallbackState state = CallbackState::kStarted;
   double share = 0;
   std::string result;
   std::optional<Report> report;
 };
-struct HopTaken {  // the target has said that it has it
+struct HopAccepted {  // the target has said that it has it
   Ticket request = 0;
   int hop = 0;
 };
@@ -70,7 +70,7 @@
   std::optional<Report> report;
   bool rejected = false;  // the target cannot use the request itself: it never ran, and never will
 };
-struct HopCalledOff {  // the target has been told, or cannot be
+struct HopCancelled {  // the target has been told, or cannot be
   Ticket request = 0;
   int hop = 0;
   bool never_ran = false;  // it was taken back before the target had it
@@ -81,55 +81,55 @@
   Micros latency = 0;
   std::optional<Report> report;
 };
-struct IngressGone {
+struct IngressDisconnected {
   Ticket request = 0;
 };
 // Its client's connection has ended (`away`), and it may come back for the answer, or it is there again.
 // While it is away what is out runs on, and nothing more is sent.
-struct IngressAway {
+struct IngressDetached {
   Ticket request = 0;
   bool away = true;
 };
-struct IngressCame {};  // a connection, with nothing on it yet
+struct IngressConnected {};  // a connection, with nothing on it yet
 struct RoutesChanged {
   ListKind kind = ListKind::kChanges;
   std::vector<pebblenotch::WorkerEntry> entries;
 };
 struct Wake {};
-struct DrainBegun {};
+struct DrainStarted {};
 // Of durable jobs only. Such a job is known by its id throughout; a ticket is one round of it.
-struct Submitted {  // taken without a client that waits for its outcome
+struct JobSubmitted {  // taken without a client that waits for its outcome
   std::string id;
   durable::Task task;
 };
-struct RoundVoid {  // the front can make no request of it any more
+struct RoundInvalid {  // the front can make no request of it any more
   std::string id;
 };
-struct TargetAlive {  // a sign of life that concerns no hop by name
+struct TargetHeartbeat {  // a sign of life that concerns no hop by name
   TargetId target = 0;
 };
-struct OrderCame {  // of an operator's tool
+struct OperatorOrder {  // of an operator's tool
   durable::Order order;
 };
-struct StoreRead {};  // what was stored is there: the first event
-struct Cordon {       // an operator's drain (`on`), or its end: no new clients, nothing else changes
+struct StoreLoaded {};  // what was stored is there: the first event
+struct Cordon {         // an operator's drain (`on`), or its end: no new clients, nothing else changes
   bool on = true;
 };
 // What this scheduler sees of its fleet, where the cluster is on: how much of it, and how many to count on.
-struct FleetSeen {
+struct FleetView {
   cluster::Standing standing = cluster::Standing::kWhole;
   int schedulers = 1;
 };
-struct Doubted {  // others say that it fails: worth one probe
+struct TargetSuspected {  // others say that it fails: worth one probe
   TargetId target = 0;
 };
-struct HeardLoad {  // what a target told another scheduler, `age` ago
+struct GossipedLoad {  // what a target told another scheduler, `age` ago
   TargetId target = 0;
   Report report;
   Micros age = 0;
 };
 // Of durable jobs that another scheduler held, or another process of this one (see durable::Keeper's homes).
-struct JobsTaken {  // part of them; `first`: of a home
+struct JobsAdopted {  // part of them; `first`: of a home
   int home = 0;
   bool first = false;
   durable::Micros clock_broke = 0;  // what ran up to then ran by another's clock
@@ -142,9 +142,10 @@
   int home = 0;
 };
 using Event =
-    std::variant<Arrived, HopNews, HopTaken, HopEnded, HopCalledOff, ProbeEnded, IngressGone, IngressAway,
-                 IngressCame, RoutesChanged, Wake, DrainBegun, Submitted, RoundVoid, TargetAlive, OrderCame,
-                 StoreRead, Cordon, FleetSeen, Doubted, HeardLoad, JobsTaken, HomeClosing, HomeLost>;
+    std::variant<RequestArrived, HopCallback, HopAccepted, HopEnded, HopCancelled, ProbeEnded,
+                 IngressDisconnected, IngressDetached, IngressConnected, RoutesChanged, Wake, DrainStarted,
+                 JobSubmitted, RoundInvalid, TargetHeartbeat, OperatorOrder, StoreLoaded, Cordon, FleetView,
+                 TargetSuspected, GossipedLoad, JobsAdopted, HomeClosing, HomeLost>;
 
 // ---- effects
 struct SendHop {
@@ -157,7 +158,7 @@
   bool durable = false;  // here and below: not before the records so far are stored
   int home = 0;          // by whose store
 };
-struct CallOffHop {  // answered by one HopCalledOff
+struct CancelHop {  // answered by one HopCancelled
   Ticket request;
   int hop;
   TargetId target;
@@ -165,7 +166,7 @@
   bool durable = false;
   int home = 0;
 };
-struct HopOver {  // by its target's call-back: the carrier need not wait for an answer to the hop itself
+struct HopCompleted {  // by its target's call-back: the carrier need not wait for an answer to the hop itself
   Ticket request;
   int hop;
 };
@@ -194,7 +195,7 @@
   std::vector<durable::Record> records;
   int home = 0;
 };
-struct Resume {  // a round of this job is due: the front makes an Arrived of it, or a RoundVoid
+struct StartRound {  // a round of this job is due: the front makes an RequestArrived of it, or a RoundInvalid
   std::string id;
   int home = 0;
 };
@@ -202,18 +203,18 @@
   std::string id;
   int home = 0;
 };
-using Effect = std::variant<SendHop, CallOffHop, HopOver, Answer, StartProbe, SubscribeRoutes, WakeAt,
-                            Drained, StormChanged, Persist, Resume, Settled>;
+using Effect = std::variant<SendHop, CancelHop, HopCompleted, Answer, StartProbe, SubscribeRoutes, WakeAt,
+                            Drained, StormChanged, Persist, StartRound, Settled>;
 
 struct ClassCounts {  // of one class, by the names that the operators' figures give them
   std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
 };
 struct Counters {
   std::vector<ClassCounts> by_class;  // by the module's class index; a class not seen yet has no entry
-  std::uint64_t taken = 0, hops = 0, called_off = 0, probes = 0;
-  std::uint64_t served = 0, shed = 0, failed = 0, rejected = 0, gone = 0;
+  std::uint64_t taken = 0, hops = 0, cancelled = 0, probes = 0;
+  std::uint64_t served = 0, shed = 0, failed = 0, rejected = 0, disconnected = 0;
   std::uint64_t hop_results[8] = {};  // by pebblenotch::Result
-  std::uint64_t late_news = 0;        // call-backs that matched no hop
+  std::uint64_t late_callbacks = 0;   // call-backs that matched no hop
   Invariants invariants;
 };
 
@@ -230,17 +231,17 @@
   void Reduce(Micros now, Event event, std::vector<Effect>& effects);
 
   // Requests that have no final answer yet and whose client waits for one.
-  std::size_t held() const { return held_ - rounds_; }
+  std::size_t pending() const { return held_ - rounds_; }
   // The id belongs to a request that is held, or was until of late.
-  bool Known(const std::string& id) const {
+  bool IsKnown(const std::string& id) const {
     return by_id_.contains(id) || recent_.contains(std::hash<std::string>{}(id));
   }
-  bool Holds(const std::string& id) const { return by_id_.contains(id); }
+  bool IsPending(const std::string& id) const { return by_id_.contains(id); }
   bool draining() const { return drain_began_ >= 0; }
   // The times of a graceful shutdown, from its beginning.
   const StopTimes& stop_times() const { return stop_times_; }
   // A graceful shutdown has come so far that whatever arrives is refused at once.
-  bool RefusesAll(Micros now) const {
+  bool ShedsAllArrivals(Micros now) const {
     return drain_began_ >= 0 && now >= drain_began_ + stop_times_.answers_due - kAnswerMargin;
   }
   bool cordoned() const { return cordoned_; }  // by an operator: wants no new clients
@@ -248,23 +249,23 @@
   // Of what is broken while it acts, those of the decision module included.
   Invariants invariants() const;
   // Nothing that is held depends on it: jobs run on and are answered in every standing.
-  const FleetSeen& fleet() const { return fleet_; }
+  const FleetView& fleet() const { return fleet_; }
   const pebblenotch::Dispatcher& module() const { return module_; }  // to look in; changes nothing
-  const Tenants& tenants() const { return tenants_; }
+  const TenantTable& tenants() const { return tenants_; }
   const durable::Keeper* keeper() const { return keeper_.get(); }  // null where nothing is durable
   const limits::Limits* limits() const { return limits_.get(); }   // null where they are off
 
   // An answer must reach the client before it gives up; what the link and a busy core may take comes off.
   static constexpr Micros kAnswerMargin = 30'000;
   // At the deadline, how long the front has for saying what became of a hop that it calls off.
-  static constexpr Micros kTellGrace = 3'000;
+  static constexpr Micros kCancelGrace = 3'000;
   // Ids of requests that are over are remembered for so long, and so many of them at most.
-  static constexpr Micros kRemember = 60'000'000;
-  static constexpr std::size_t kMostRemembered = 8192;
+  static constexpr Micros kIdRetention = 60'000'000;
+  static constexpr std::size_t kMaxRetainedIds = 8192;
   // While there is a storm its watch is looked at this often, however quiet it is.
-  static constexpr Micros kWatchStorm = 500'000;
+  static constexpr Micros kStormCheckInterval = 500'000;
   // What a request that cannot be held is told, where the limits know no better.
-  static constexpr Micros kNoRoomWait = 1'000'000;
+  static constexpr Micros kNoCapacityRetryAfter = 1'000'000;
 
  private:
   enum class HopState : std::uint8_t { kOut, kCallingOff, kEnded };
@@ -279,10 +280,10 @@
   };
   struct Job {
     std::string id;
-    Micros came_at = 0, deadline = 0, hop_limit = 0;
-    int most_hops = 0;
+    Micros came_at = 0, deadline = 0, hop_timeout = 0;
+    int max_hops = 0;
     int job_class = 0;
-    Tenants::Place tenant = Tenants::kNone;
+    TenantTable::RowIndex tenant = TenantTable::kNone;
     limits::ClientHash client = 0;
     limits::Limits::Arrival came;
     bool answered = false;
@@ -301,35 +302,35 @@
     bool operator>(const Due& o) const { return at > o.at; }
   };
 
-  void On(Arrived& e);
-  void On(HopNews& e);
-  void On(HopTaken& e);
+  void On(RequestArrived& e);
+  void On(HopCallback& e);
+  void On(HopAccepted& e);
   void On(HopEnded& e);
-  void On(HopCalledOff& e);
+  void On(HopCancelled& e);
   void On(ProbeEnded& e);
-  void On(IngressGone& e);
-  void On(IngressAway& e);
-  void On(IngressCame&);
+  void On(IngressDisconnected& e);
+  void On(IngressDetached& e);
+  void On(IngressConnected&);
   void On(RoutesChanged& e);
   void On(Wake&);
-  void On(DrainBegun&);
-  void On(Submitted& e);
-  void On(RoundVoid& e);
-  void On(TargetAlive& e);
-  void On(OrderCame& e);
-  void On(StoreRead&);
-  void On(JobsTaken& e);
+  void On(DrainStarted&);
+  void On(JobSubmitted& e);
+  void On(RoundInvalid& e);
+  void On(TargetHeartbeat& e);
+  void On(OperatorOrder& e);
+  void On(StoreLoaded&);
+  void On(JobsAdopted& e);
   void On(HomeClosing& e);
   void On(HomeLost& e);
   void On(Cordon& e) { cordoned_ = e.on; }
-  void On(FleetSeen& e);
-  void On(Doubted& e);
-  void On(HeardLoad& e);
+  void On(FleetView& e);
+  void On(TargetSuspected& e);
+  void On(GossipedLoad& e);
   ClassCounts& CountsOf(int job_class);
   bool MayBegin(const Job& job, Micros limit);
 
-  void TellKeeper(const Job& job, int hop, const HopNews& e);
-  void OrphanNews(const HopNews& e);
+  void TellKeeper(const Job& job, int hop, const HopCallback& e);
+  void OrphanNews(const HopCallback& e);
   void LookAtDurable();
   void OfferRounds();
   void LeaveIdleRounds();
@@ -373,8 +374,8 @@
   Micros drain_began_ = -1;
   bool drained_ = false, cordoned_ = false;
   Counters counters_;
-  FleetSeen fleet_;
-  Tenants tenants_;
+  FleetView fleet_;
+  TenantTable tenants_;
 };
 
 }  // namespace heronway::core
--- a/src/core/tenants.h
+++ b/src/core/tenants.h
@@ -10,34 +10,35 @@
 
 namespace heronway::core {
 
-class Tenants {
+class TenantTable {
  public:
-  static constexpr std::size_t kMost = 1024;   // with a row of their own; all later ones share the first row
-  static constexpr std::size_t kLongest = 64;  // bytes of a name that tell; the rest is cut
+  static constexpr std::size_t kMaxNamedTenants =
+      1024;  // with a row of their own; all later ones share the first row
+  static constexpr std::size_t kMaxNameBytes = 64;  // bytes of a name that tell; the rest is cut
   struct Row {
     std::string name;
-    std::uint64_t taken = 0, served = 0, shed = 0, failed = 0, gone = 0;
+    std::uint64_t taken = 0, served = 0, shed = 0, failed = 0, disconnected = 0;
   };
-  using Place = std::uint32_t;
-  static constexpr Place kNone = ~0U;
+  using RowIndex = std::uint32_t;
+  static constexpr RowIndex kNone = ~0U;
 
-  Tenants() { rows_.push_back({"(others)"}); }
+  TenantTable() { rows_.push_back({"(others)"}); }
 
   // The tenant's row. `name` is the client's to choose: what is not plain text is written as '?'.
-  Place Of(std::string_view name) {
-    std::string kept(name.substr(0, kLongest));
+  RowIndex IndexOf(std::string_view name) {
+    std::string kept(name.substr(0, kMaxNameBytes));
     for (char& c : kept) c = c > 0x20 && c < 0x7f ? c : '?';
-    if (const auto known = places_.find(kept); known != places_.end()) return known->second;
-    if (rows_.size() > kMost) return 0;
+    if (const auto known = indexes_.find(kept); known != indexes_.end()) return known->second;
+    if (rows_.size() > kMaxNamedTenants) return 0;
     rows_.push_back({kept});
-    return places_.emplace(rows_.back().name, static_cast<Place>(rows_.size() - 1)).first->second;
+    return indexes_.emplace(rows_.back().name, static_cast<RowIndex>(rows_.size() - 1)).first->second;
   }
-  Row& At(Place place) { return rows_[place]; }
+  Row& At(RowIndex index) { return rows_[index]; }
   const std::deque<Row>& rows() const { return rows_; }  // in the order in which they came
 
  private:
   std::deque<Row> rows_;
-  std::unordered_map<std::string_view, Place> places_;
+  std::unordered_map<std::string_view, RowIndex> indexes_;
 };
 
 }  // namespace heronway::core
--- a/src/fronts/console/calls.cpp
+++ b/src/fronts/console/calls.cpp
@@ -28,7 +28,7 @@
   line("cluster_unhealthy", f.cluster_unhealthy);
   line("conf_loaded", f.conf_loaded);
   line("conf_invalid", f.conf_invalid);
-  for (std::size_t i = 0; i < core::kInvariants; ++i)
+  for (std::size_t i = 0; i < core::kInvariantCount; ++i)
     line(std::string("invariants.") + core::kInvariantNames[i], f.invariants.Violations(i));
   for (const auto& [name, value] : f.fleet) line("fleet." + name, value);
   return out;
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -54,7 +54,7 @@
 void Front::PushDurable(Connection& c, faktory::Job& spec, std::string_view rest,
                         const match::Service::Judgement& judged) {
   if (!CanTake(c)) return;
-  core::Submitted submitted;
+  core::JobSubmitted submitted;
   submitted.id = spec.jid;
   durable::Task& task = submitted.task;
   task.job_class = spec.job_class;
@@ -82,7 +82,7 @@
                });
 }
 
-void Front::TakeDurable(Connection& c, core::Submitted submitted) {
+void Front::TakeDurable(Connection& c, core::JobSubmitted submitted) {
   if (!CanTake(c)) return;
   const std::string jid = submitted.id;
   driver_.Post(std::move(submitted));
@@ -90,7 +90,7 @@
 }
 
 // The worker hears that its word counts when it is stored: until then it must not forget the job.
-void Front::AckDurable(Connection& c, core::HopNews news) {
+void Front::AckDurable(Connection& c, core::HopCallback news) {
   if (lead_word_ && reducer().keeper()->book().Find(news.id) == nullptr) {
     c.storing = true;
     c.timer.Stop();
@@ -101,17 +101,17 @@
       c->Send(heard == cluster::copies::Heard::kNotNow ? Error(kNotNow) : Simple("OK"));
     });
   }
-  const auto late = reducer().counters().late_news;
+  const auto late = reducer().counters().late_callbacks;
   const int home = reducer().keeper()->HomeOf(news.id);
   driver_.Post(std::move(news));
-  late_acks_ += reducer().counters().late_news - late;
+  late_acks_ += reducer().counters().late_callbacks - late;
   ReplyWhenStored(c, Simple("OK"), home);
 }
 
 // A round of a stored job: a request as any other, but that nobody waits for it here.
-void Front::Do(core::Resume& e) {
+void Front::Do(core::StartRound& e) {
   const durable::Job* stored = reducer().keeper()->book().Find(e.id);
-  core::Arrived arrived;
+  core::RequestArrived arrived;
   auto owned = std::make_unique<Job>();
   Job& job = *owned;
   try {
@@ -121,13 +121,13 @@
     Micros patience = spec.deadline.value_or(settings.deadline);
     if (spec.reserved) patience = std::max(patience, spec.reserve_for);
     job.deadline = shared_.loop.Now() + patience;
-    arrived.hop_limit = spec.reserve_for;
+    arrived.hop_timeout = spec.reserve_for;
     // Which targets it may go to is asked anew, as rules may have changed; the rest was judged when it came.
     if (rules_ != nullptr)
       arrived.request.only =
           rules_->Judge(shared_.loop.Now(), AsRequest(spec, stored->text.size()), true).only;
   } catch (const Fault&) {
-    return driver_.Post(core::RoundVoid{e.id});
+    return driver_.Post(core::RoundInvalid{e.id});
   }
   job.jid = e.id;
   job.queue = stored->lane;
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -68,7 +68,7 @@
       most_bytes_(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 / 16) {
   // Its part of the descriptors; the HTTP front's parts leave this much.
   faktory_.most_connections = std::min(faktory_.most_connections, std::max(1, config.sockets / 10));
-  if (durable()) driver_.Post(core::StoreRead{});
+  if (durable()) driver_.Post(core::StoreLoaded{});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
 }
 
@@ -77,7 +77,7 @@
 // ---- connections
 void Front::Accepted(int fd, const net::Address& from) {
   connections_.push_back(std::make_shared<Connection>(*this, fd, from));
-  if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressCame{});
+  if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressConnected{});
   Connection& c = *connections_.back();
   Json::Value hi;
   hi["v"] = 2;
@@ -118,7 +118,7 @@
   // A client that went away may come back for its job: what a worker has goes on, and nothing more is sent.
   if (Job* job = std::exchange(c.job, nullptr); job != nullptr) {
     job->client = nullptr;
-    driver_.Post(core::IngressAway{job->ticket, true});
+    driver_.Post(core::IngressDetached{job->ticket, true});
   }
   Worker* worker = std::exchange(c.worker, nullptr);
   const auto it =
@@ -204,7 +204,7 @@
   c.worker->connections.push_back(&c);
   if (fresh) TellRoute(*c.worker, WorkerState::kReady);
   // It may hold jobs from before its connections broke, or this program did.
-  if (durable()) driver_.Post(core::TargetAlive{c.worker->target});
+  if (durable()) driver_.Post(core::TargetHeartbeat{c.worker->target});
   c.Send(Simple("OK"));
 }
 
@@ -261,7 +261,7 @@
     }
     c.job = &job;
     c.timer.Stop();
-    driver_.Post(core::IngressAway{job.ticket, false});
+    driver_.Post(core::IngressDetached{job.ticket, false});
     return DeliverAll();  // a hop of it may wait for a worker's FETCH
   }
   const auto judged = Judge(c, spec, rest.size());
@@ -278,18 +278,18 @@
   if (spec.job_class < 0) throw Fault("jobtype is none of the classes served here");
   if (durable()) return PushDurable(c, spec, rest, judged);
   const std::string tenant(judged.tenant.value_or(""));  // it points into what is moved below
-  core::Arrived arrived;
-  if (reducer().held() >= static_cast<std::size_t>(config_.most_held) ||
+  core::RequestArrived arrived;
+  if (reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
       held_bytes_ + rest.size() > most_bytes_) {
     ++turned_away_;
     if (reducer().limits() == nullptr) return c.Send(Error("SHED too many jobs held; come back in 1.000 s"));
-    arrived.no_room = true;
+    arrived.no_capacity = true;
   }
   auto owned = std::make_unique<Job>();
   Job& job = *owned;
   job.jid = spec.jid;
   job.queue = spec.queue;
-  if (!arrived.no_room) job.text = rest;
+  if (!arrived.no_capacity) job.text = rest;
   job.job_class = spec.job_class;
   job.ticket = ++last_ticket_;
   const auto& settings = config_.module.settings.classes[static_cast<std::size_t>(spec.job_class)];
@@ -301,8 +301,8 @@
   tickets_[job.ticket] = &job;
   jobs_[job.jid] = std::move(owned);
   arrived.id = arrived.client = spec.jid;
-  arrived.hop_limit = spec.reserve_for;
-  arrived.most_hops = spec.most_hops;
+  arrived.hop_timeout = spec.reserve_for;
+  arrived.max_hops = spec.most_hops;
   arrived.request.id = job.ticket;
   arrived.request.job_class = spec.job_class;
   arrived.request.deadline = job.deadline;
@@ -329,9 +329,9 @@
 void Front::Ack(Connection& c, const Command& command) {
   if (c.worker == nullptr) throw Fault(command.verb + " needs a HELLO with a wid");
   const Json::Value ack = ParseObject(command.rest, command.verb.c_str());
-  core::HopNews news;
+  core::HopCallback news;
   news.id = Text(ack, "jid");
-  news.news = command.verb == "ACK" ? core::News::kDone : core::News::kFailed;
+  news.state = command.verb == "ACK" ? core::CallbackState::kDone : core::CallbackState::kFailed;
   Worker& worker = *c.worker;
   news.from = worker.target;
   const auto hop = std::find_if(worker.hops.begin(), worker.hops.end(),
@@ -344,7 +344,7 @@
     return c.Send(Simple("OK"));
   }
   if (durable()) {
-    if (news.news == core::News::kFailed) news.result = WhyOf(ack);
+    if (news.state == core::CallbackState::kFailed) news.result = WhyOf(ack);
     return AckDurable(c, std::move(news));
   }
   // The outcome stands before the worker hears of it: what becomes of it afterwards changes nothing.
@@ -358,7 +358,7 @@
     throw Fault("wid is not the one of this connection's HELLO");
   const std::string state = beat["current_state"].isString() ? beat["current_state"].asString() : "";
   if (state != "" && state != "quiet" && state != "terminate") throw Fault("current_state is not known");
-  if (durable()) driver_.Post(core::TargetAlive{c.worker->target});
+  if (durable()) driver_.Post(core::TargetHeartbeat{c.worker->target});
   if (state != "" && c.worker->state == WorkerState::kReady) {
     // Told at once, and what waits for it is taken back: nothing new goes to a worker that drains.
     TellRoute(*c.worker, WorkerState::kDraining);
@@ -370,7 +370,7 @@
 std::string Front::Info() const {
   const core::Counters& n = driver_.reducer().counters();
   Json::Value info, &faktory = info["faktory"], &server = info["server"];
-  faktory["total_enqueued"] = Json::UInt64(driver_.reducer().held());
+  faktory["total_enqueued"] = Json::UInt64(driver_.reducer().pending());
   faktory["total_processed"] = Json::UInt64(n.served);
   faktory["total_failures"] = Json::UInt64(n.failed);
   faktory["total_shed"] = Json::UInt64(n.shed + turned_away_);
@@ -386,11 +386,11 @@
 // ---- effects
 void Front::Execute(core::Effect& effect) {
   if (auto* send = std::get_if<core::SendHop>(&effect)) return Do(*send);
-  if (auto* off = std::get_if<core::CallOffHop>(&effect)) return Do(*off);
+  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Do(*off);
   if (auto* answer = std::get_if<core::Answer>(&effect)) return Do(*answer);
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
     return LogStorm("faktory", storm->change, config_.classes);
-  if (auto* resume = std::get_if<core::Resume>(&effect)) return Do(*resume);
+  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Do(*resume);
   if (std::holds_alternative<core::Drained>(effect))
     driver_.WhenStored([this](bool) { drained_(); });  // replies that wait for the store go out first
 }
@@ -423,7 +423,7 @@
   struct Given {
     Connection* to;
     std::string text;
-    core::HopNews started;
+    core::HopCallback started;
   };
   std::vector<Given> given;
   for (Hop& hop : worker.hops) {
@@ -475,7 +475,7 @@
 }
 
 // The protocol has no word for calling off what a worker holds; its ACK will be late and change nothing.
-void Front::Do(core::CallOffHop& e) {
+void Front::Do(core::CancelHop& e) {
   bool waited = false;
   if (const auto target = targets_.find(e.target); target != targets_.end()) {
     auto& hops = target->second->hops;
@@ -487,7 +487,7 @@
       hops.erase(hop);
     }
   }
-  driver_.Post(core::HopCalledOff{e.request, e.hop, waited});
+  driver_.Post(core::HopCancelled{e.request, e.hop, waited});
 }
 
 void Front::Do(core::Answer& e) {
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -31,11 +31,11 @@
   Front(net::Shared& shared, const config::Config& config, const config::Options& options,
         const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
-  void Drain() { driver_.Post(core::DrainBegun{}); }
+  void Drain() { driver_.Post(core::DrainStarted{}); }
   bool Answering() const;  // a reply has not left whole
-  void FleetSeen(const core::FleetSeen& seen) { driver_.Post(core::FleetSeen(seen)); }
+  void FleetSeen(const core::FleetView& seen) { driver_.Post(core::FleetView(seen)); }
   // Where word of a job that is not held here goes, where copies are kept.
-  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::Doors::Told)>;
+  using LeadWord = std::function<void(const core::HopCallback&, cluster::copies::Doors::Told)>;
   void LeadWords(LeadWord lead) { lead_word_ = std::move(lead); }
   // Asks the other schedulers for a job that is not known here; told once, within `patience` microseconds.
   using LookUpJob = std::function<void(const std::string& jid, Micros patience,
@@ -77,9 +77,9 @@
   match::Request AsRequest(const faktory::Job& spec, std::size_t bytes) const;
   void PushDurable(Connection& c, faktory::Job& spec, std::string_view rest,
                    const match::Service::Judgement& judged);
-  void TakeDurable(Connection& c, core::Submitted submitted);
+  void TakeDurable(Connection& c, core::JobSubmitted submitted);
   bool CanTake(Connection& c);
-  void AckDurable(Connection& c, core::HopNews news);
+  void AckDurable(Connection& c, core::HopCallback news);
   void ReplyWhenStored(Connection& c, std::string line, int home);
   bool durable() const { return reducer().keeper() != nullptr; }
   core::TargetId TargetOf(const std::string& wid);
@@ -90,9 +90,9 @@
 
   void Execute(core::Effect& effect);
   void Do(core::SendHop& e);
-  void Do(core::CallOffHop& e);
+  void Do(core::CancelHop& e);
   void Do(core::Answer& e);
-  void Do(core::Resume& e);
+  void Do(core::StartRound& e);
   void EndRound(Job& job) { Forget(job); }
   void Forget(Job& job);
   void InfoOfStore(Json::Value& faktory) const;
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -55,7 +55,7 @@
 }
 
 // The client's time counts on while others are asked.
-void Front::LookUp(Ingress& in, Message message, core::Arrived arrived, const std::string& alias) {
+void Front::LookUp(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias) {
   if (!MayWait(in)) return;
   ++looking_up_;
   const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - shared_.loop.Now();
@@ -71,7 +71,7 @@
                  // It may have come meanwhile, from another client or another scheduler.
                  if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
                    return Join(*client, message, std::string(*job), arrived.request.job_class);
-                 if (reducer().Known(arrived.id)) return client->Answer(409, {}, "Req-Id is in use\n");
+                 if (reducer().IsKnown(arrived.id)) return client->Answer(409, {}, "Req-Id is in use\n");
                  Admit(*client, message, arrived, alias);
                });
 }
@@ -88,7 +88,7 @@
 
 void Front::Join(Ingress& in, const Message& message, const std::string& id, int job_class) {
   ++joins_;
-  if (reducer().RefusesAll(shared_.loop.Now()))
+  if (reducer().ShedsAllArrivals(shared_.loop.Now()))
     return in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}},
                      "shutting down; come again by the same key\n");
   if (!MayHold()) return in.Answer(503, {{"Retry-After", "1"}}, "too many requests held\n");
@@ -178,7 +178,7 @@
 }
 
 // One that nobody has is over and forgotten: its worker is told so as ever.
-void Front::LeadNews(Ingress& in, const core::HopNews& news) {
+void Front::LeadNews(Ingress& in, const core::HopCallback& news) {
   if (!MayWait(in)) return;
   lead_word_(news, [at = in.weak_from_this(), ticket = in.ticket](cluster::copies::Heard heard) {
     const auto client = at.lock();
@@ -189,14 +189,14 @@
 }
 
 // A round without a client: what was stored goes out as it came.
-void Front::Do(core::Resume& e) {
+void Front::Do(core::StartRound& e) {
   const durable::Job* job = reducer().keeper()->book().Find(e.id);
   Reader reader(HTTP_REQUEST, kMostBody);
   std::size_t used = 0;
   if (job == nullptr || reader.Feed(job->text, used) != ReadState::kWhole)
-    return driver_.Post(core::RoundVoid{e.id});
+    return driver_.Post(core::RoundInvalid{e.id});
   Message message = reader.TakeWhole();
-  core::Arrived arrived;
+  core::RequestArrived arrived;
   arrived.round = true;
   arrived.id = e.id;
   if (const auto* key = message.Find("Idempotency-Key")) arrived.client = *key;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -90,7 +90,7 @@
           shared.loop, config.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
           [this](int fd, const net::Address& from) { Accepted(fd, from); }),
       close_idle_(shared.loop, [this] { CloseIdle(); }) {
-  if (durable()) driver_.Post(core::StoreRead{});
+  if (durable()) driver_.Post(core::StoreLoaded{});
   // Its age is not known: the decisions hear of it once the watch says that it may be acted on.
   routes_.Take(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
@@ -101,7 +101,7 @@
 
 void Front::Drain() {
   if (reducer().draining()) return;  // a second SIGTERM must not begin the times of the first anew
-  driver_.Post(core::DrainBegun{});
+  driver_.Post(core::DrainStarted{});
   LogStop("begun");
   // Clients come on the connections they have for as long as these stay open. Found on a day on which the
   // other scheduler was not back yet: those that were closed at once found nobody.
@@ -124,7 +124,7 @@
   log::Event(log::Level::kInfo, "stop",
              {{"front", "http", true},
               {"state", state},
-              {"held", reducer().held()},
+              {"held", reducer().pending()},
               {"connections", ingress_count_},
               {"close_idle_ms", times.close_idle / 1000},
               {"answers_due_ms", times.answers_due / 1000},
@@ -133,7 +133,7 @@
 
 core::Invariants Front::invariants() const {
   core::Invariants all = reducer().invariants();
-  for (std::size_t i = 0; i < core::kInvariants; ++i)
+  for (std::size_t i = 0; i < core::kInvariantCount; ++i)
     all.Count(static_cast<core::Invariant>(i), checks_.Violations(i));
   return all;
 }
@@ -177,7 +177,7 @@
   places.push_back(std::make_shared<Ingress>(*this, fd, from));
   places.back()->place = std::prev(places.end());
   ++ingress_count_;
-  if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressCame{});
+  if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressConnected{});
 }
 
 // Puts a connection where it stands now, behind those that came there before, and counts what it holds.
@@ -261,7 +261,7 @@
     if (fresh->left || fresh->reader.begun() || shared_.loop.Now() - fresh->since <= kSilent) continue;
     if (!fresh->stream.ReadWaiting() && !fresh->left) Remove(*fresh, net::Reason::kShutdown);
   }
-  if (reducer().RefusesAll(shared_.loop.Now())) {
+  if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
     if (!std::exchange(refusing_, true)) LogStop("refusing");
     EndComing();
   }
@@ -309,11 +309,12 @@
     ++malformed_;
     return in.Answer(400, {}, "not a call-back\n");
   }
-  core::HopNews news;
+  core::HopCallback news;
   const std::string state = root["state"].asString();
-  static const std::map<std::string, core::News> kStates = {
-      {"started", core::News::kStarted}, {"running", core::News::kRunning},   {"done", core::News::kDone},
-      {"failed", core::News::kFailed},   {"returned", core::News::kReturned}, {"lost", core::News::kLost}};
+  static const std::map<std::string, core::CallbackState> kStates = {
+      {"started", core::CallbackState::kStarted},   {"running", core::CallbackState::kRunning},
+      {"done", core::CallbackState::kDone},         {"failed", core::CallbackState::kFailed},
+      {"returned", core::CallbackState::kReturned}, {"lost", core::CallbackState::kLost}};
   const auto known = kStates.find(state);
   news.id = root["id"].asString();
   auto from = routes_.IdOf(root["from"].asString());
@@ -323,16 +324,16 @@
   // Guards a job of the other process on the same address while one replaces the other: a call-back that
   // reached the process which never held the job is refused and its connection closed, so that the worker
   // calls again, on a new connection that the kernel may give to the one that holds it.
-  if (!durable() && from && !reducer().Known(news.id)) {
+  if (!durable() && from && !reducer().IsKnown(news.id)) {
     in.keep_alive = false;
     return in.Answer(503, {}, "not held here\n");
   }
-  const bool elsewhere = lead_word_ && known != kStates.end() && !reducer().Holds(news.id) &&
+  const bool elsewhere = lead_word_ && known != kStates.end() && !reducer().IsPending(news.id) &&
                          reducer().keeper()->book().Find(news.id) == nullptr;
   if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
   if (known == kStates.end() || !from) return in.Answer(200, {}, {});
   news.from = *from;
-  news.news = known->second;
+  news.state = known->second;
   LogHop(news.id, -1, root["from"].asString(), state);
   if (root["share"].isNumeric()) news.share = root["share"].asDouble();
   const Json::Value& result = root["result"];
@@ -372,7 +373,7 @@
       pending_bytes_ -= it->second.message.size();
       pending_.erase(it);
     }
-    driver_.Post(core::IngressGone{ticket});
+    driver_.Post(core::IngressDisconnected{ticket});
   }
   in.timer.Stop();
   if (std::exchange(in.left, true)) return;
@@ -397,14 +398,14 @@
 // ---- effects
 void Front::Execute(core::Effect& effect) {
   if (auto* send = std::get_if<core::SendHop>(&effect)) return Do(*send);
-  if (auto* off = std::get_if<core::CallOffHop>(&effect)) return Do(*off);
-  if (auto* over = std::get_if<core::HopOver>(&effect)) return Do(*over);
+  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Do(*off);
+  if (auto* over = std::get_if<core::HopCompleted>(&effect)) return Do(*over);
   if (auto* answer = std::get_if<core::Answer>(&effect)) return Do(*answer);
   if (auto* probe = std::get_if<core::StartProbe>(&effect)) return Do(*probe);
   if (std::holds_alternative<core::SubscribeRoutes>(effect)) return watch_.Start();
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
     return LogStorm("http", storm->change, config_.classes);
-  if (auto* resume = std::get_if<core::Resume>(&effect)) return Do(*resume);
+  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Do(*resume);
   if (auto* settled = std::get_if<core::Settled>(&effect)) return Do(*settled);
   if (std::holds_alternative<core::Drained>(effect)) LogStop("drained");
   if (std::holds_alternative<core::Drained>(effect)) driver_.WhenStored([this](bool) { drained_(); });
@@ -420,9 +421,9 @@
   }
   const auto* route = routes_.Find(hint.target);
   if (route != nullptr && hint.kind == cluster::FactKind::kLoad)
-    return driver_.Post(core::HeardLoad{hint.target, cluster::ToReport(hint), hint.age});
+    return driver_.Post(core::GossipedLoad{hint.target, cluster::ToReport(hint), hint.age});
   if (route != nullptr && route->state == pebblenotch::WorkerState::kReady)
-    driver_.Post(core::Doubted{hint.target});
+    driver_.Post(core::TargetSuspected{hint.target});
 }
 
 // Guards a target that is cold, and that nobody can say so of, against the traffic of a warm one.
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -48,13 +48,13 @@
   const core::Reducer& reducer() const { return driver_.reducer(); }
   core::Invariants invariants() const;  // of the reducer and of the connections
   // The process is about to exit.
-  void CheckExit() { checks_.Check(core::Invariant::kAnsweredBeforeExit, reducer().held() == 0); }
+  void CheckExit() { checks_.Check(core::Invariant::kAnsweredBeforeExit, reducer().pending() == 0); }
   bool Answering() const;                                     // an answer has not left whole
   std::size_t connections() const { return ingress_count_; }  // of clients, and of targets that call back
   net::Address address() const { return listener_.address(); }
-  void FleetSeen(const core::FleetSeen& seen) { driver_.Post(core::FleetSeen(seen)); }
+  void FleetSeen(const core::FleetView& seen) { driver_.Post(core::FleetView(seen)); }
   // Where word of a job that is not held here goes, where copies are kept.
-  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::Doors::Told)>;
+  using LeadWord = std::function<void(const core::HopCallback&, cluster::copies::Doors::Told)>;
   void LeadWords(LeadWord lead) { lead_word_ = std::move(lead); }
   // How many descriptors that other parts of the program may have they do not use now; egress may have some.
   void LendDescriptors(std::function<std::size_t()> unused) { unused_elsewhere_ = std::move(unused); }
@@ -115,9 +115,9 @@
   void Settle(Ingress& in);
   void Serve(Ingress& in, Message message, std::string_view behind);
   void TakeRequest(Ingress& in, Message message);
-  void LookUp(Ingress& in, Message message, core::Arrived arrived, const std::string& alias);
+  void LookUp(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias);
   void AnswerFromElsewhere(Ingress& in, const cluster::copies::Verdict& verdict);
-  void Admit(Ingress& in, Message message, core::Arrived arrived, const std::string& alias);
+  void Admit(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias);
   static match::Request AsRequest(const Message& message);
   static void ReadExtra(const Message& message, pebblenotch::Request& request);
   match::Service::Judgement Judge(const Ingress& in, const Message& message);
@@ -130,7 +130,7 @@
   void Leave(std::map<core::Ticket, Joined>::iterator it);
   void ComeAgain(std::map<core::Ticket, Joined>::iterator it);  // to be told that its job is under way
   void AnswerWhenStored(Ingress& in, int home);
-  void LeadNews(Ingress& in, const core::HopNews& news);
+  void LeadNews(Ingress& in, const core::HopCallback& news);
   bool MayWait(Ingress& in);
   // Of connections, those in service or being answered: jobs without a client hold none.
   std::size_t InService() { return At(Stage::kBusy).size(); }
@@ -143,11 +143,11 @@
 
   void Execute(core::Effect& effect);
   void Do(core::SendHop& e);
-  void Do(core::CallOffHop& e);
-  void Do(core::HopOver& e);
+  void Do(core::CancelHop& e);
+  void Do(core::HopCompleted& e);
   void Do(core::Answer& e);
   void Do(core::StartProbe& e);
-  void Do(core::Resume& e);
+  void Do(core::StartRound& e);
   void Do(core::Settled& e);
   bool MayLeave(core::Ticket ticket, core::TargetId target) const;
   std::string HopText(const Pending& pending, const net::Address& to, Micros until) const;
--- a/src/fronts/http/hops.cpp
+++ b/src/fronts/http/hops.cpp
@@ -49,7 +49,7 @@
 }
 
 void Front::Do(core::SendHop& e) {
-  checks_.Check(core::Invariant::kListInForce, watch_.usable());
+  checks_.Check(core::Invariant::kRouteListInForce, watch_.usable());
   if (!MayLeave(e.request, e.target))
     return driver_.Post(core::HopEnded{e.request, e.hop, core::Result::kMoot, {}});
   const net::Address to = routes_.Find(e.target)->address;
@@ -77,7 +77,7 @@
   if (reply.kind == Reply::Kind::kAnswered && status == 202) {
     ++taken_;
     TellFleetOf(target, core::Result::kOk);
-    return driver_.Post(core::HopTaken{ticket, hop});  // what follows comes by call-back
+    return driver_.Post(core::HopAccepted{ticket, hop});  // what follows comes by call-back
   }
   core::HopEnded ended{ticket, hop, core::Result::kError, {}};
   if (reply.kind == Reply::Kind::kNoRoom || reply.kind == Reply::Kind::kWithdrawn) {
@@ -105,8 +105,8 @@
   driver_.Post(std::move(ended));
 }
 
-void Front::Do(core::CallOffHop& e) {
-  const core::HopCalledOff told{e.request, e.hop};
+void Front::Do(core::CancelHop& e) {
+  const core::HopCancelled told{e.request, e.hop};
   if (auto call = calls_.find({e.request, e.hop}); call != calls_.end()) {
     // Guards against a hop that runs on beside the next one: its target's 202 may be here already and only
     // not read yet, and from then on the end of the connection tells it nothing.
@@ -116,7 +116,7 @@
     if (call != calls_.end()) {  // not taken yet: the end of the connection tells it
       const bool never_ran = egress_.Close(call->second);
       calls_.erase(call);
-      return driver_.Post(core::HopCalledOff{e.request, e.hop, never_ran});
+      return driver_.Post(core::HopCancelled{e.request, e.hop, never_ran});
     }
     if (taken_ == taken) return driver_.Post(told);  // it was over: its end has been posted before this
   }
@@ -128,7 +128,7 @@
 }
 
 // Guards descriptors against a target that tells a hop's end by call-back and never answers the hop itself.
-void Front::Do(core::HopOver& e) {
+void Front::Do(core::HopCompleted& e) {
   const auto call = calls_.find({e.request, e.hop});
   if (call != calls_.end()) egress_.Expire(call->second, kTakeLimit);
 }
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -109,9 +109,9 @@
     return Join(in, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
   // Ids are new with every request. Guards a request whose hop may still be out, or whose answer was just
   // given, against another that comes by its name.
-  if (driver_.reducer().Known(*id) || (durable() && reducer().keeper()->book().Find(*id) != nullptr))
+  if (driver_.reducer().IsKnown(*id) || (durable() && reducer().keeper()->book().Find(*id) != nullptr))
     return refuse(409, "Req-Id is in use");
-  core::Arrived arrived;
+  core::RequestArrived arrived;
   pebblenotch::Request& r = arrived.request;
   r.job_class = static_cast<int>(job_class - config_.classes.begin());
   const auto& settings = config_.module.settings.classes[static_cast<std::size_t>(r.job_class)];
@@ -134,7 +134,7 @@
     r.key = *key;
   }
   if (judged.key) r.key = *judged.key;
-  if (judged.repeats) arrived.most_hops = *judged.repeats + 1;
+  if (judged.repeats) arrived.max_hops = *judged.repeats + 1;
   r.priority = judged.priority;
   r.only = judged.only;
   arrived.tenant = judged.tenant.value_or("");
@@ -146,16 +146,16 @@
 }
 
 // Holds the request, or has it refused where it cannot be held.
-void Front::Admit(Ingress& in, Message message, core::Arrived arrived, const std::string& alias) {
+void Front::Admit(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias) {
   pebblenotch::Request& r = arrived.request;
   const std::size_t size = message.size();
   // Guards memory and descriptors: what cannot be held is refused at once, before anything was done about it.
-  if (driver_.reducer().held() >= static_cast<std::size_t>(config_.most_held) ||
+  if (driver_.reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
       pending_bytes_ + size > budget_.held_bytes || !MayHold() || (!alias.empty() && driver_.StoreFull())) {
     ++turned_away_;
     if (driver_.reducer().limits() == nullptr)
       return in.Answer(503, {{"Retry-After", "1"}}, "too many requests held\n");
-    arrived.no_room = true;
+    arrived.no_capacity = true;
   }
   r.id = in.ticket = ++last_ticket_;
   // Requests have a new id each time: the key is what tells a repeat, where there is one.
@@ -163,10 +163,10 @@
     arrived.client = *key;
   } else if (const auto* object = message.Find("Req-Key")) {
     arrived.client = *object;
-    arrived.client_is_job = false;
+    arrived.client_names_job = false;
   }
-  if (!alias.empty() && !arrived.no_room) arrived.task = TaskOf(message, r, alias);
-  if (arrived.no_room) message = {};  // nothing of it is held
+  if (!alias.empty() && !arrived.no_capacity) arrived.task = TaskOf(message, r, alias);
+  if (arrived.no_capacity) message = {};  // nothing of it is held
   pending_bytes_ += message.size();
   pending_.emplace(r.id, Pending{&in, arrived.id, std::move(message)});
   driver_.Post(std::move(arrived));
--- a/src/fronts/told.cpp
+++ b/src/fronts/told.cpp
@@ -60,8 +60,8 @@
   };
   log::Event(invariants.Violations() > 0 ? log::Level::kError : log::Level::kInfo, "invariants",
              {{"front", front, true},
-              {"one_attempt_out", times(core::Invariant::kOneAttemptOut)},
-              {"repeat_allowed", times(core::Invariant::kRepeatAllowed)},
+              {"one_attempt_out", times(core::Invariant::kOneHopInFlight)},
+              {"repeat_allowed", times(core::Invariant::kRetryAllowed)},
               {"time_left", times(core::Invariant::kTimeLeft)},
               {"slow_start_token", times(core::Invariant::kSlowStartToken)},
               {"answered_before_close", times(core::Invariant::kAnsweredBeforeClose)},
@@ -83,12 +83,12 @@
               {"shed", c.shed},
               {"failed", c.failed},
               {"rejected", c.rejected},
-              {"gone", c.gone},
-              {"held", reducer.held()},
+              {"gone", c.disconnected},
+              {"held", reducer.pending()},
               {"hops", c.hops},
-              {"called_off", c.called_off},
+              {"called_off", c.cancelled},
               {"probes", c.probes},
-              {"late_news", c.late_news},
+              {"late_news", c.late_callbacks},
               {"hops_ok", c.hop_results[0]},
               {"hops_error", c.hop_results[1]},
               {"hops_full", c.hop_results[2]},
@@ -98,7 +98,7 @@
               {"hops_cancelled", c.hop_results[6]},
               {"hops_moot", c.hop_results[7]}});
   // The busiest tenants by name, and the others together.
-  std::vector<const core::Tenants::Row*> tenants;
+  std::vector<const core::TenantTable::Row*> tenants;
   for (const auto& row : reducer.tenants().rows()) tenants.push_back(&row);
   std::stable_sort(tenants.begin(), tenants.end(), [](auto* a, auto* b) { return a->taken > b->taken; });
   for (std::size_t i = 0; i < std::min(tenants.size(), kMostTold) && tenants[i]->taken > 0; ++i) {
@@ -110,7 +110,7 @@
                 {"served", t.served},
                 {"shed", t.shed},
                 {"failed", t.failed},
-                {"gone", t.gone}});
+                {"gone", t.disconnected}});
   }
   const limits::Limits* limits = reducer.limits();
   if (limits == nullptr) return;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -159,7 +159,7 @@
                   net::Driver* d = driver(name);
                   return d == nullptr || d->Idle(group);
                 },
-                [driver](const std::string& name, core::HopNews news, std::function<void(bool)> told) {
+                [driver](const std::string& name, core::HopCallback news, std::function<void(bool)> told) {
                   net::Driver* d = driver(name);
                   return d != nullptr && d->TakeWord(std::move(news), std::move(told));
                 },
@@ -172,11 +172,12 @@
                   });
                 }});
   const auto lead = [&copies, driver](const std::string& name) {
-    return [&copies, d = driver(name), name](const core::HopNews& news, cluster::copies::Doors::Told told) {
-      // It may be among those that are still coming.
-      if (d->coming()) return told(cluster::copies::Heard::kNotNow);
-      copies.Lead(name, news, std::move(told));
-    };
+    return
+        [&copies, d = driver(name), name](const core::HopCallback& news, cluster::copies::Doors::Told told) {
+          // It may be among those that are still coming.
+          if (d->coming()) return told(cluster::copies::Heard::kNotNow);
+          copies.Lead(name, news, std::move(told));
+        };
   };
   front.LeadWords(lead("http"));
   if (second != nullptr) second->LeadWords(lead("faktory"));
@@ -260,7 +261,7 @@
                                            }
                                            return console::Figures{&front.reducer().counters(),
                                                                    &config.classes,
-                                                                   front.reducer().held(),
+                                                                   front.reducer().pending(),
                                                                    front.Listed(),
                                                                    front.Avoided(),
                                                                    conf_loaded,
@@ -293,8 +294,8 @@
   // Guards against leaving a request unread that came while the last answer went out, on a connection that is
   // still to be accepted too, and an answer that its client has not read whole: each has its time for that.
   const auto busy = [&] {
-    return front.reducer().held() > 0 || front.Answering() ||
-           (second && (second->reducer().held() > 0 || second->Answering()));
+    return front.reducer().pending() > 0 || front.Answering() ||
+           (second && (second->reducer().pending() > 0 || second->Answering()));
   };
   for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1) busy() ? loop.RunTurn() : loop.RunOnce();
   front.CheckExit();
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -23,7 +23,7 @@
   // Carries out every effect but the timers. May post further events.
   using Executor = std::function<void(core::Effect&)>;
 
-  // `durable`: what is stored, and where; nothing where durable jobs are off. The owner posts StoreRead
+  // `durable`: what is stored, and where; nothing where durable jobs are off. The owner posts StoreLoaded
   // first, then. `name`: for the log.
   Driver(Loop& loop, const pebblenotch::Settings& settings, std::uint64_t seed, Micros take_limit,
          const limits::Settings& limits, Executor execute, durable::Opened durable = {},
@@ -116,7 +116,7 @@
            (g == nullptr || g->writer().stored() == g->writer().handed());
   }
   // A worker's word that reached another scheduler. False: no such job is held here.
-  bool TakeWord(core::HopNews news, Gate::Stored told) {
+  bool TakeWord(core::HopCallback news, Gate::Stored told) {
     const durable::Keeper* keeper = reducer_.keeper();
     if (keeper == nullptr) return false;
     if (keeper->book().Find(news.id) == nullptr) {
@@ -169,19 +169,19 @@
   std::unique_ptr<Gate> MakeGate(std::unique_ptr<durable::Store> store, bool copied) {
     return std::make_unique<Gate>(
         loop_, std::move(store), durable::Writer::Settings{}, execute_,
-        [this](durable::Order order) { Post(core::OrderCame{std::move(order)}); },
+        [this](durable::Order order) { Post(core::OperatorOrder{std::move(order)}); },
         [this](const std::string& fault) {
           if (fault.empty())
             return log::Event(log::Level::kInfo, "store",
                               {{"front", name_, true}, {"state", "written again"}});
           log::Event(log::Level::kError, "store", {{"front", name_, true}, {"fault", fault}});
         },
-        copied, [this](const core::HopCalledOff& off) { Post(core::HopCalledOff(off)); });
+        copied, [this](const core::HopCancelled& off) { Post(core::HopCancelled(off)); });
   }
   void Come() {
     if (coming_.empty()) return;
     Coming& c = coming_.front();
-    core::JobsTaken part{c.home, c.next == 0, c.clock_broke, {}};
+    core::JobsAdopted part{c.home, c.next == 0, c.clock_broke, {}};
     const std::size_t end = std::min(c.jobs.size(), c.next + kComeAtOnce);
     for (; c.next < end; ++c.next) part.jobs.push_back(std::move(c.jobs[c.next]));
     if (c.next == c.jobs.size()) coming_.pop_front();
@@ -193,12 +193,12 @@
     if (gates_.empty()) return nullptr;
     if (const auto* send = std::get_if<core::SendHop>(&effect))
       return send->durable ? gate(send->home) : nullptr;
-    if (const auto* off = std::get_if<core::CallOffHop>(&effect))
+    if (const auto* off = std::get_if<core::CancelHop>(&effect))
       return off->durable ? gate(off->home) : nullptr;
     if (const auto* a = std::get_if<core::Answer>(&effect)) return a->durable ? gate(a->home) : nullptr;
     if (const auto* settled = std::get_if<core::Settled>(&effect)) return gate(settled->home);
     // A round's beginning comes behind the end of the one before.
-    const auto* resume = std::get_if<core::Resume>(&effect);
+    const auto* resume = std::get_if<core::StartRound>(&effect);
     return resume != nullptr ? gate(resume->home) : nullptr;
   }
   Loop& loop_;
--- a/src/net/gate.h
+++ b/src/net/gate.h
@@ -36,7 +36,7 @@
   Gate(Loop& loop, std::unique_ptr<durable::Store> store, const durable::Writer::Settings& settings,
        Executor execute, std::function<void(durable::Order)> ordered,
        std::function<void(const std::string& fault)> changed, bool copied = false,
-       std::function<void(const core::HopCalledOff&)> taken_back = nullptr)
+       std::function<void(const core::HopCancelled&)> taken_back = nullptr)
       : loop_(loop),
         copied_(copied),
         taken_back_(std::move(taken_back)),
@@ -55,7 +55,7 @@
   // Carried out now, or when everything handed over so far is stored.
   void Pass(core::Effect effect) {
     if (Open() || PromisesNothing(effect)) return execute_(effect);
-    if (const auto* off = std::get_if<core::CallOffHop>(&effect); off != nullptr && TakeBack(*off)) return;
+    if (const auto* off = std::get_if<core::CancelHop>(&effect); off != nullptr && TakeBack(*off)) return;
     const bool answer = std::holds_alternative<core::Answer>(effect) ||
                         (!copied_ && std::holds_alternative<core::Settled>(effect));
     const Micros now = loop_.Now();
@@ -86,9 +86,9 @@
     for (Held& h : held) {
       if (auto* send = std::get_if<core::SendHop>(&h.effect); send != nullptr && !h.then) {
         post(core::HopEnded{send->request, send->hop, core::Result::kConnectFailed, {}});
-      } else if (auto* off = std::get_if<core::CallOffHop>(&h.effect); off != nullptr && !h.then) {
+      } else if (auto* off = std::get_if<core::CancelHop>(&h.effect); off != nullptr && !h.then) {
         execute_(h.effect);
-      } else if (!std::holds_alternative<core::Resume>(h.effect)) {
+      } else if (!std::holds_alternative<core::StartRound>(h.effect)) {
         Let(std::move(h), false);
       }
     }
@@ -117,12 +117,12 @@
   }
   // Guards against a hop that leaves when the store is well again, long after it was called off, beside the
   // one that took its place.
-  bool TakeBack(const core::CallOffHop& off) {
+  bool TakeBack(const core::CancelHop& off) {
     for (auto it = waiting_.begin(); it != waiting_.end(); ++it) {
       const auto* send = std::get_if<core::SendHop>(&it->effect);
       if (send == nullptr || it->then || send->request != off.request || send->hop != off.hop) continue;
       waiting_.erase(it);
-      if (taken_back_) taken_back_(core::HopCalledOff{off.request, off.hop, true});
+      if (taken_back_) taken_back_(core::HopCancelled{off.request, off.hop, true});
       return true;
     }
     return false;
@@ -169,7 +169,7 @@
 
   Loop& loop_;
   const bool copied_;
-  const std::function<void(const core::HopCalledOff&)> taken_back_;
+  const std::function<void(const core::HopCancelled&)> taken_back_;
   Executor execute_;
   std::function<void(durable::Order)> ordered_;
   std::function<void(const std::string&)> changed_;
--- a/tests/cluster/doors_test.cpp
+++ b/tests/cluster/doors_test.cpp
@@ -63,17 +63,17 @@
 }
 
 TEST(Doors, AWordComesBackWholeAndASpoiltOneIsNothing) {
-  core::HopNews news;
+  core::HopCallback news;
   news.id = "job 1";
   news.from = ~core::TargetId{0};
-  news.news = core::News::kFailed;
+  news.state = core::CallbackState::kFailed;
   news.result = std::string("a\0b", 3);
   const std::string bytes = EncodeWord(news);
   const auto back = DecodeWord(bytes);
   ASSERT_TRUE(back.has_value());
   EXPECT_EQ(back->id, news.id);
   EXPECT_EQ(back->from, news.from);
-  EXPECT_EQ(back->news, news.news);
+  EXPECT_EQ(back->state, news.state);
   EXPECT_EQ(back->result, news.result);
   for (std::size_t n = 0; n < bytes.size(); ++n)
     EXPECT_FALSE(DecodeWord(bytes.substr(0, n)).has_value()) << n;
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -41,18 +41,18 @@
   }
   void Do(core::Event event) { reducer.Reduce(now, std::move(event), effects); }
   void Ask(Micros hop_limit = 0) {
-    core::Arrived a;
+    core::RequestArrived a;
     a.id = "a";
     a.request.id = 9;
     a.request.deadline = now + 1'000 * kMs;
-    a.hop_limit = hop_limit;
+    a.hop_timeout = hop_limit;
     Do(a);
   }
-  void Tell(core::TargetId from, core::News news, const std::string& result = "") {
-    core::HopNews n;
+  void Tell(core::TargetId from, core::CallbackState news, const std::string& result = "") {
+    core::HopCallback n;
     n.id = "a";
     n.from = from;
-    n.news = news;
+    n.state = news;
     n.result = result;
     Do(n);
   }
@@ -80,19 +80,19 @@
   ASSERT_EQ(c.All<core::SendHop>().size(), 1u);
   const auto first = c.All<core::SendHop>()[0].target;
   c.Pass(301 * kMs);
-  ASSERT_EQ(c.All<core::CallOffHop>().size(), 1u);
+  ASSERT_EQ(c.All<core::CancelHop>().size(), 1u);
   EXPECT_EQ(c.All<core::SendHop>().size(), 1u);
-  c.Do(core::HopCalledOff{9, 0});
+  c.Do(core::HopCancelled{9, 0});
   ASSERT_EQ(c.All<core::SendHop>().size(), 2u);
   EXPECT_NE(c.All<core::SendHop>()[1].target, first);
-  c.Tell(first, core::News::kDone, "late");
+  c.Tell(first, core::CallbackState::kDone, "late");
   EXPECT_TRUE(c.All<core::Answer>().empty());
-  EXPECT_EQ(c.reducer.counters().late_news, 1u);
-  c.Tell(3 - first, core::News::kDone, "good");
-  c.Tell(3 - first, core::News::kDone, "again");
+  EXPECT_EQ(c.reducer.counters().late_callbacks, 1u);
+  c.Tell(3 - first, core::CallbackState::kDone, "good");
+  c.Tell(3 - first, core::CallbackState::kDone, "again");
   ASSERT_EQ(c.All<core::Answer>().size(), 1u);
   EXPECT_EQ(c.All<core::Answer>()[0].result, "good");
-  EXPECT_EQ(c.reducer.held(), 0u);
+  EXPECT_EQ(c.reducer.pending(), 0u);
 }
 
 // Guards against a connection that fell silent: found on a silent day, where two in a hundred jobs waited on
@@ -102,12 +102,12 @@
     Core c(pebblenotch::Effect::kSafe, 300 * kMs);
     c.Ask();
     const auto first = c.All<core::SendHop>().at(0).target;
-    if (heard == 1) c.Do(core::HopTaken{9, 0});
-    if (heard == 2) c.Tell(first, core::News::kStarted);
+    if (heard == 1) c.Do(core::HopAccepted{9, 0});
+    if (heard == 2) c.Tell(first, core::CallbackState::kStarted);
     c.Pass(301 * kMs);
-    ASSERT_EQ(c.All<core::CallOffHop>().size(), heard == 0 ? 1u : 0u);
+    ASSERT_EQ(c.All<core::CancelHop>().size(), heard == 0 ? 1u : 0u);
     if (heard > 0) continue;
-    c.Do(core::HopCalledOff{9, 0});
+    c.Do(core::HopCancelled{9, 0});
     ASSERT_EQ(c.All<core::SendHop>().size(), 2u);
     EXPECT_NE(c.All<core::SendHop>()[1].target, first);
   }
@@ -119,10 +119,10 @@
   Core c(pebblenotch::Effect::kUnsafe, 300 * kMs);
   c.Ask();
   c.Pass(301 * kMs);
-  c.Do(core::HopCalledOff{9, 0, true});
+  c.Do(core::HopCancelled{9, 0, true});
   EXPECT_EQ(c.All<core::SendHop>().size(), 2u);
-  c.Do(core::IngressGone{9});
-  c.Do(core::HopCalledOff{9, 1, true});
+  c.Do(core::IngressDisconnected{9});
+  c.Do(core::HopCancelled{9, 1, true});
   const auto& results = c.reducer.counters().hop_results;
   EXPECT_EQ(results[static_cast<int>(Result::kConnectFailed)], 1u);
   EXPECT_EQ(results[static_cast<int>(Result::kMoot)], 1u);
@@ -134,7 +134,7 @@
     Core c(pebblenotch::Effect::kUnsafe);
     c.Ask();
     c.Pass(971 * kMs);
-    if (never_ran) c.Do(core::HopCalledOff{9, 0, true});
+    if (never_ran) c.Do(core::HopCancelled{9, 0, true});
     c.Pass(4 * kMs);
     ASSERT_EQ(c.All<core::Answer>().size(), 1u);
     EXPECT_EQ(c.All<core::Answer>()[0].kind, never_ran ? core::AnswerKind::kShed : core::AnswerKind::kFailed);
@@ -153,29 +153,29 @@
 TEST(Reducer, AClientThatLeavesIsOwedNothingAndItsHopIsCalledOff) {
   Core c(pebblenotch::Effect::kSafe);
   c.Ask();
-  c.Do(core::IngressGone{9});
-  EXPECT_EQ(c.All<core::CallOffHop>().size(), 1u);
-  c.Do(core::HopCalledOff{9, 0});
+  c.Do(core::IngressDisconnected{9});
+  EXPECT_EQ(c.All<core::CancelHop>().size(), 1u);
+  c.Do(core::HopCancelled{9, 0});
   EXPECT_TRUE(c.All<core::Answer>().empty());
-  EXPECT_EQ(c.reducer.held(), 0u);
+  EXPECT_EQ(c.reducer.pending(), 0u);
 }
 
 TEST(Reducer, DrainsOnlyWhenAllIsAnsweredAndLateArrivalsArePast) {
   Core c(pebblenotch::Effect::kSafe);
   c.Ask();
-  c.Do(core::DrainBegun{});
+  c.Do(core::DrainStarted{});
   c.Pass(701 * kMs);
   EXPECT_TRUE(c.All<core::Drained>().empty());
-  c.Tell(c.All<core::SendHop>()[0].target, core::News::kDone, "r");
+  c.Tell(c.All<core::SendHop>()[0].target, core::CallbackState::kDone, "r");
   EXPECT_EQ(c.All<core::Drained>().size(), 1u);
 }
 
 // Guards what came late on a connection that was still open against the kill that may follow a planned stop.
 TEST(Reducer, AnswersWhatCameLateInADrainBeforeTheEnd) {
   Core c(pebblenotch::Effect::kUnsafe);
-  c.Do(core::DrainBegun{});
+  c.Do(core::DrainStarted{});
   c.Pass(690 * kMs);
-  core::Arrived a;
+  core::RequestArrived a;
   a.id = "a";
   a.request.id = 9;
   a.request.deadline = c.now + 20'000 * kMs;
@@ -184,7 +184,7 @@
   EXPECT_TRUE(c.All<core::Answer>().empty());
   c.Pass(11 * kMs);
   ASSERT_EQ(c.All<core::Answer>().size(), 1u);
-  EXPECT_EQ(c.All<core::CallOffHop>().size(), 1u);
+  EXPECT_EQ(c.All<core::CancelHop>().size(), 1u);
   EXPECT_EQ(c.All<core::Drained>().size(), 1u);
 }
 
@@ -194,7 +194,7 @@
   Core c(pebblenotch::Effect::kSafe);
   c.Do(core::Cordon{true});
   EXPECT_TRUE(c.reducer.cordoned() && !c.reducer.draining());
-  c.Do(core::DrainBegun{});
+  c.Do(core::DrainStarted{});
   c.Pass(c.reducer.stop_times().answers_due);
   c.Ask();
   ASSERT_EQ(c.All<core::Answer>().size(), 1u);
@@ -209,13 +209,13 @@
 TEST(Reducer, AnswersWhatCameBeforeAStopAsWell) {
   for (const auto effect : {pebblenotch::Effect::kSafe, pebblenotch::Effect::kUnsafe}) {
     Core c(effect);
-    core::Arrived a;
+    core::RequestArrived a;
     a.id = "a";
     a.request.id = 9;
     a.request.deadline = c.now + 20'000 * kMs;
     c.Do(a);
     ASSERT_EQ(c.All<core::SendHop>().size(), 1u);
-    c.Do(core::DrainBegun{});
+    c.Do(core::DrainStarted{});
     c.Pass(c.reducer.stop_times().answers_due - 1);
     EXPECT_TRUE(c.All<core::Answer>().empty());
     c.Pass(1);
@@ -352,7 +352,7 @@
 TEST(Reducer, CountsWhatBecameOfEachTenantInAFixedTable) {
   Core core(pebblenotch::Effect::kSafe);
   const auto ask = [&core](core::Ticket ticket, const std::string& tenant) {
-    core::Arrived a;
+    core::RequestArrived a;
     a.id = "t" + std::to_string(ticket);
     a.request.id = ticket;
     a.request.deadline = core.now + 1'000 * kMs;
@@ -361,7 +361,7 @@
   };
   ask(1, "us");
   ask(2, "us");
-  core.Do(core::IngressGone{2});
+  core.Do(core::IngressDisconnected{2});
   ask(3, "them\n");
   core.Pass(1'100 * kMs);
   core.Pass(10 * kMs);  // the hops were called off, and nobody says what became of them
@@ -369,11 +369,11 @@
   ASSERT_EQ(rows.size(), 3u);
   EXPECT_EQ(rows[1].name, "us");
   EXPECT_EQ(rows[1].taken, 2u);
-  EXPECT_EQ(rows[1].gone, 1u);
+  EXPECT_EQ(rows[1].disconnected, 1u);
   EXPECT_EQ(rows[1].served + rows[1].shed + rows[1].failed, 1u);
   EXPECT_EQ(rows[2].name, "them?");
   for (core::Ticket n = 10; n < 2'000; ++n) ask(n, "crafted" + std::to_string(n));
-  EXPECT_EQ(rows.size(), core::Tenants::kMost + 1);
+  EXPECT_EQ(rows.size(), core::TenantTable::kMaxNamedTenants + 1);
   EXPECT_GT(rows[0].taken, 900u);
 }
 
@@ -479,7 +479,7 @@
     site.may_probe = may;
     core::Reducer reducer(site, 7, 0);
     std::vector<core::Effect> effects;
-    reducer.Reduce(1, core::Doubted{5}, effects);
+    reducer.Reduce(1, core::TargetSuspected{5}, effects);
     const auto probes = std::count_if(effects.begin(), effects.end(), [](const core::Effect& e) {
       return std::holds_alternative<core::StartProbe>(e);
     });
@@ -498,7 +498,7 @@
     core::RoutesChanged routes{core::ListKind::kCached, std::vector<pebblenotch::WorkerEntry>(1)};
     routes.entries[0].id = 1;
     reducer.Reduce(1'000'000, routes, effects);
-    reducer.Reduce(1'000'000, core::FleetSeen{cluster::Standing::kMinority, schedulers}, effects);
+    reducer.Reduce(1'000'000, core::FleetView{cluster::Standing::kMinority, schedulers}, effects);
     core::ProbeEnded probe;  // full, so that all are held
     probe.target = 1;
     probe.report = core::Report{};
@@ -506,7 +506,7 @@
     probe.report->free_slots = 0;
     reducer.Reduce(1'000'000, probe, effects);
     for (core::Ticket t = 1; t <= 40; ++t) {
-      core::Arrived a;
+      core::RequestArrived a;
       a.id = std::to_string(t);
       a.request.id = t;
       a.request.deadline = 6'000'000;
--- a/tests/durable/gate_test.cpp
+++ b/tests/durable/gate_test.cpp
@@ -24,7 +24,7 @@
           passed += answer == nullptr ? 'h' : answer->kind == core::AnswerKind::kServed ? 'a' : 'f';
         },
         [](durable::Order) {}, [this](const std::string& fault) { faults.push_back(fault); }, copied,
-        [this](const core::HopCalledOff& off) { back += off.never_ran ? 1 : 0; });
+        [this](const core::HopCancelled& off) { back += off.never_ran ? 1 : 0; });
   }
   void Run(Micros time) {
     Timer end(loop, [this] { loop.Stop(); });
@@ -116,12 +116,12 @@
   g.gate->Hand({durable::Record{}});
   g.gate->Pass(core::SendHop{1, 0, 1, 1, true});
   g.gate->Pass(core::SendHop{2, 0, 1, 1, true});
-  g.gate->Pass(core::CallOffHop{1, 0, 1, "a", true});
+  g.gate->Pass(core::CancelHop{1, 0, 1, "a", true});
   EXPECT_EQ(g.back, 1);
   g.state->fail_to = 0;
   g.Run(500'000);
   EXPECT_EQ(g.passed, "h") << "the other one";
-  g.gate->Pass(core::CallOffHop{2, 0, 1, "b", true});
+  g.gate->Pass(core::CancelHop{2, 0, 1, "b", true});
   EXPECT_EQ(g.passed, "hh") << "one that has left is called off at its target";
 }
 
@@ -163,7 +163,7 @@
   g.gate->Hand({durable::Record{}});
   g.gate->Pass(core::SendHop{1, 0, 1, 1, true});
   g.gate->Pass(core::Answer{2, core::AnswerKind::kServed, 0, "result", true});
-  g.gate->Pass(core::Resume{"a"});
+  g.gate->Pass(core::StartRound{"a"});
   g.gate->WhenStored([&](bool stored) { g.passed += stored ? 's' : 'n'; });
   std::vector<core::Event> posted;
   g.gate->Abandon([&](core::Event e) { posted.push_back(std::move(e)); });
@@ -188,7 +188,7 @@
   opened.store = store();
   Driver driver(
       loop, site, 1, 0, {}, [](core::Effect&) {}, std::move(opened), "t");
-  driver.Post(core::StoreRead{});
+  driver.Post(core::StoreLoaded{});
   EXPECT_FALSE(driver.StoreFull());
   durable::Held held;
   held.group = "s1/t/1";
@@ -196,7 +196,7 @@
   for (int n = 0; n < 1'000; ++n) held.jobs.emplace_back("j" + std::to_string(n), durable::Job{});
   driver.Hold(std::move(held));
   EXPECT_TRUE(driver.StoreFull());
-  core::HopNews news;
+  core::HopCallback news;
   news.id = "j999";
   std::string told;
   EXPECT_TRUE(driver.TakeWord(news, [&](bool stored) { told += stored ? 's' : 'n'; }));
--- a/tests/durable/keeper_test.cpp
+++ b/tests/durable/keeper_test.cpp
@@ -373,7 +373,7 @@
 struct Core {
   explicit Core(Settings settings = {})
       : reducer(Site(), 7, now, 0, {}, std::make_unique<Keeper>(settings, Classes(settings), 7)) {
-    Do(core::StoreRead{});
+    Do(core::StoreLoaded{});
     core::RoutesChanged routes{core::ListKind::kCached, std::vector<pebblenotch::WorkerEntry>(2)};
     routes.entries[0].id = 1;
     routes.entries[1].id = 2;
@@ -409,7 +409,7 @@
                                     effects.begin());
   }
   void Round(const std::string& id, int job_class) {
-    core::Arrived a;
+    core::RequestArrived a;
     a.id = id;
     a.round = true;
     a.request.id = ++ticket;
@@ -425,39 +425,39 @@
 
 TEST(DurableReducer, WhatIsDecidedIsAmongTheRecordsBeforeWhatRestsOnIt) {
   Core c;
-  c.Do(core::Submitted{"j", Work(kUnsafe)});
-  ASSERT_NE(c.Find<core::Resume>(), nullptr);
-  EXPECT_LT(c.At<core::Persist>(), c.At<core::Resume>());
+  c.Do(core::JobSubmitted{"j", Work(kUnsafe)});
+  ASSERT_NE(c.Find<core::StartRound>(), nullptr);
+  EXPECT_LT(c.At<core::Persist>(), c.At<core::StartRound>());
   c.Round("j", kUnsafe);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr);
   EXPECT_EQ(c.Find<core::Persist>()->records.front().kind, Kind::kLeased);
   EXPECT_LT(c.At<core::Persist>(), c.At<core::SendHop>());
   EXPECT_TRUE(c.Find<core::SendHop>()->durable);
-  core::HopNews done;
+  core::HopCallback done;
   done.id = "j";
   done.from = c.Find<core::SendHop>()->target;
-  done.news = core::News::kDone;
+  done.state = core::CallbackState::kDone;
   c.Do(done);
   EXPECT_LT(c.At<core::Persist>(), c.At<core::Answer>());
   EXPECT_NE(c.Find<core::Settled>(), nullptr);
-  EXPECT_EQ(c.reducer.held(), 0u);
+  EXPECT_EQ(c.reducer.pending(), 0u);
   c.Do(done);
-  EXPECT_EQ(c.reducer.counters().late_news, 1u);
+  EXPECT_EQ(c.reducer.counters().late_callbacks, 1u);
 }
 
 TEST(DurableReducer, ALapsedLeaseOfAHopThatIsOutIsCalledOffOnce) {
   Settings settings;
   settings.lease = kS;
   Core c(settings);
-  c.Do(core::Submitted{"j", Work(kSafe)});
+  c.Do(core::JobSubmitted{"j", Work(kSafe)});
   c.Round("j", kSafe);
   c.now += kS;
   c.Do(core::Wake{});
-  const auto* off = c.Find<core::CallOffHop>();
+  const auto* off = c.Find<core::CancelHop>();
   ASSERT_NE(off, nullptr);
-  const core::HopCalledOff told{off->request, off->hop};
+  const core::HopCancelled told{off->request, off->hop};
   c.Do(core::Wake{});
-  EXPECT_EQ(c.Find<core::CallOffHop>(), nullptr);
+  EXPECT_EQ(c.Find<core::CancelHop>(), nullptr);
   EXPECT_GT(c.reducer.keeper()->next(c.now), c.now) << "it is not asked again until that is told";
   c.Do(told);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr) << "a safe job goes on at another worker at once";
@@ -465,22 +465,22 @@
 
 TEST(DurableReducer, AClientThatLeavesItsDurableJobDoesNotEndIt) {
   Core c;
-  core::Arrived a;
+  core::RequestArrived a;
   a.id = "j";
   a.request.id = 1;
   a.request.job_class = kKeyed;
   a.request.deadline = c.now + 5 * kS;
   a.task = Work(kKeyed);
   c.Do(a);
-  EXPECT_EQ(c.reducer.held(), 1u);
+  EXPECT_EQ(c.reducer.pending(), 1u);
   const auto target = c.Find<core::SendHop>()->target;
-  c.Do(core::IngressGone{1});
-  EXPECT_EQ(c.reducer.held(), 0u);
-  EXPECT_EQ(c.Find<core::CallOffHop>(), nullptr);
-  core::HopNews done;
+  c.Do(core::IngressDisconnected{1});
+  EXPECT_EQ(c.reducer.pending(), 0u);
+  EXPECT_EQ(c.Find<core::CancelHop>(), nullptr);
+  core::HopCallback done;
   done.id = "j";
   done.from = target;
-  done.news = core::News::kDone;
+  done.state = core::CallbackState::kDone;
   done.result = "r";
   c.Do(done);
   EXPECT_EQ(c.reducer.keeper()->book().Find("j")->text, "r");
@@ -488,8 +488,8 @@
 
 TEST(DurableReducer, ARoundThatMustNotBeLeasedSendsNoHop) {
   Core c;
-  c.Do(core::Submitted{"j", Work(kSafe)});
-  c.Do(core::DrainBegun{});
+  c.Do(core::JobSubmitted{"j", Work(kSafe)});
+  c.Do(core::DrainStarted{});
   c.Round("j", kSafe);
   EXPECT_EQ(c.Find<core::SendHop>(), nullptr) << "nothing new is begun while it stops";
   EXPECT_EQ(c.reducer.keeper()->book().Find("j")->epoch, 0u);
@@ -498,9 +498,9 @@
 TEST(DurableReducer, APlannedStopLeavesWhatNobodyHasToTheStore) {
   Core c;
   c.Do(core::RoutesChanged{core::ListKind::kWhole, {}});
-  c.Do(core::Submitted{"j", Work(kSafe)});
+  c.Do(core::JobSubmitted{"j", Work(kSafe)});
   c.Round("j", kSafe);
-  c.Do(core::DrainBegun{});
+  c.Do(core::DrainStarted{});
   c.now += c.reducer.stop_times().earliest_exit;
   c.Do(core::Wake{});
   EXPECT_NE(c.Find<core::Drained>(), nullptr);
@@ -511,16 +511,16 @@
 // recorded, and what comes of its hops is late; what is this scheduler's own goes on.
 TEST(DurableReducer, AHomeThatIsLostLeavesNothingBehind) {
   Core c, gone;
-  gone.Do(core::Submitted{"theirs", Work(kUnsafe)});
-  c.Do(core::JobsTaken{3, true, 0, {{"theirs", *gone.reducer.keeper()->book().Find("theirs")}}});
-  ASSERT_NE(c.Find<core::Resume>(), nullptr);
-  EXPECT_EQ(c.Find<core::Resume>()->home, 3);
+  gone.Do(core::JobSubmitted{"theirs", Work(kUnsafe)});
+  c.Do(core::JobsAdopted{3, true, 0, {{"theirs", *gone.reducer.keeper()->book().Find("theirs")}}});
+  ASSERT_NE(c.Find<core::StartRound>(), nullptr);
+  EXPECT_EQ(c.Find<core::StartRound>()->home, 3);
   c.Round("theirs", kUnsafe);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr);
   EXPECT_EQ(c.Find<core::SendHop>()->home, 3);
   EXPECT_EQ(c.Find<core::Persist>()->home, 3);
   const auto at = c.Find<core::SendHop>()->target;
-  c.Do(core::Submitted{"own", Work(kUnsafe)});
+  c.Do(core::JobSubmitted{"own", Work(kUnsafe)});
   c.Round("own", kUnsafe);
   c.Do(core::HomeLost{3});
   ASSERT_NE(c.Find<core::Answer>(), nullptr);
@@ -528,15 +528,15 @@
   EXPECT_FALSE(c.Find<core::Answer>()->durable) << "it waits for no records";
   EXPECT_NE(c.Find<core::Settled>(), nullptr) << "who waits for it beside that is told";
   EXPECT_EQ(c.Find<core::Persist>(), nullptr);
-  core::HopNews done;
+  core::HopCallback done;
   done.id = "theirs";
   done.from = at;
-  done.news = core::News::kDone;
+  done.state = core::CallbackState::kDone;
   c.Do(done);
   EXPECT_EQ(c.Find<core::Persist>(), nullptr);
-  EXPECT_EQ(c.reducer.counters().late_news, 1u);
+  EXPECT_EQ(c.reducer.counters().late_callbacks, 1u);
   EXPECT_NE(c.reducer.keeper()->book().Find("own"), nullptr);
-  c.Do(core::DrainBegun{});
+  c.Do(core::DrainStarted{});
   c.now += c.reducer.stop_times().answers_due;
   c.Do(core::Wake{});
   EXPECT_NE(c.Find<core::Drained>(), nullptr) << "the rounds are counted right";
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -89,7 +89,9 @@
 }
 // With the longest deadline that counts; the sites here have such.
 const double kTimeToClose =
-    static_cast<double>((core::StopTimes::kLongestWaited + core::StopTimes::kLateArrivals) * 16 / 37) / 1e6 +
+    static_cast<double>((core::StopTimes::kLongestDeadlineHonored + core::StopTimes::kLateArrivalWindow) *
+                        16 / 37) /
+        1e6 +
     0.1;
 const std::string kTaken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 const std::string kRoom = "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}";
