--- a/src/cluster/copies/report_forwarding.cpp
+++ b/src/cluster/copies/report_forwarding.cpp
@@ -6,7 +6,7 @@
 
 namespace heronway::cluster::copies {
 
-void ReplicaManager::ForwardReport(const std::string& front, const core::HopNews& news,
+void ReplicaManager::ForwardReport(const std::string& front, const core::HopCallback& news,
                                    ReportForwarder::Done told) {
   std::vector<std::string> others;
   // Guards against word that is thrown away while whoever holds its job is out of sight, and may be back.
