--- a/src/cluster/copies/report_forwarder.h
+++ b/src/cluster/copies/report_forwarder.h
@@ -21,8 +21,8 @@
 enum class ForwardOutcome : std::uint8_t { kUnknownJob, kStored, kRetry };
 
 // A worker's word as it goes from member to member: id, target, news and result. `front` goes beside it.
-std::string EncodeReport(const core::HopNews& news);
-std::optional<core::HopNews> DecodeReport(std::string_view bytes);
+std::string EncodeReport(const core::HopCallback& news);
+std::optional<core::HopCallback> DecodeReport(std::string_view bytes);
 
 class ReportForwarder {
  public:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -162,7 +162,7 @@
          net::Driver* d = driver(name);
          return d == nullptr || d->Idle(group);
        },
-       [driver](const std::string& name, core::HopNews news, std::function<void(bool)> told) {
+       [driver](const std::string& name, core::HopCallback news, std::function<void(bool)> told) {
          net::Driver* d = driver(name);
          return d != nullptr && d->TakeWord(std::move(news), std::move(told));
        },
@@ -174,7 +174,7 @@
                  [told](const durable::Job* found, bool known_now) { told(VerdictOf(found, known_now)); });
        }});
   const auto lead = [&copies, driver](const std::string& name) {
-    return [&copies, d = driver(name), name](const core::HopNews& news,
+    return [&copies, d = driver(name), name](const core::HopCallback& news,
                                              cluster::copies::ReportForwarder::Done told) {
       // It may be among those that are still coming.
       if (d->coming()) return told(cluster::copies::ForwardOutcome::kRetry);
@@ -265,7 +265,7 @@
                                            }
                                            return console::Figures{&front.reducer().counters(),
                                                                    &config.classes,
-                                                                   front.reducer().held(),
+                                                                   front.reducer().pending(),
                                                                    front.Listed(),
                                                                    front.Avoided(),
                                                                    conf_loaded,
@@ -298,8 +298,8 @@
   // Guards against leaving a request unread that came while the last answer went out, on a connection that is
   // still to be accepted too, and an answer that its client has not read whole: each has its time for that.
   const auto busy = [&] {
-    return front.reducer().held() > 0 || front.Answering() ||
-           (second && (second->reducer().held() > 0 || second->Answering()));
+    return front.reducer().pending() > 0 || front.Answering() ||
+           (second && (second->reducer().pending() > 0 || second->Answering()));
   };
   for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1) busy() ? loop.RunTurn() : loop.RunOnce();
   front.CheckExit();
