--- a/src/cluster/copies/links.cpp
+++ b/src/cluster/copies/links.cpp
@@ -73,7 +73,7 @@
       : links(owner),
         to(std::move(member)),
         redial_timer(owner.shared_.loop, [this] { redial_delayed = false; }) {}
-  void OnUp() override {
+  void OnConnected() override {
     Frame hello;
     hello.fleet = links.settings_.fleet;
     hello.from = links.settings_.name;
@@ -102,7 +102,7 @@
   bool redial_delayed = false;     // it was tried a moment ago
 };
 
-Links::Links(net::Shared& shared, const Settings& settings,
+Links::Links(net::StreamContext& shared, const Settings& settings,
              std::function<void(const std::string&, Frame)> received)
     : shared_(shared),
       settings_(settings),
@@ -141,7 +141,7 @@
 
 bool Links::IsConnected(const std::string& member) const {
   const auto it = outbound_.find(member);
-  return it != outbound_.end() && it->second->stream && it->second->stream->up();
+  return it != outbound_.end() && it->second->stream && it->second->stream->connected();
 }
 
 void Links::Send(const std::string& to, const Frame& frame) {
@@ -167,7 +167,7 @@
     ++frames_lost;
     return;
   }
-  if (out.stream->up()) return out.Write(bytes);
+  if (out.stream->connected()) return out.Write(bytes);
   out.queued_bytes += bytes.size();
   out.queued.push_back(bytes);
 }
@@ -189,7 +189,7 @@
 void Links::End(Outbound& out) {
   out.queued.clear();
   out.queued_bytes = out.unsent_bytes = 0;
-  if (out.stream) shared_.loop.Bury(std::exchange(out.stream, nullptr));
+  if (out.stream) shared_.loop.DestroyLater(std::exchange(out.stream, nullptr));
 }
 
 void Links::End(Inbound& in) {
@@ -199,7 +199,7 @@
   const auto it =
       std::find_if(inbound_.begin(), inbound_.end(), [&in](const auto& p) { return p.get() == &in; });
   if (it == inbound_.end()) return;
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   inbound_.erase(it);
 }
 
--- a/src/cluster/copies/links.h
+++ b/src/cluster/copies/links.h
@@ -34,7 +34,7 @@
         dial_addresses;  // by member: the way there, before where it says that it is
   };
   // Throws std::runtime_error where it cannot listen.
-  Links(net::Shared& shared, const Settings& settings,
+  Links(net::StreamContext& shared, const Settings& settings,
         std::function<void(const std::string& from, Frame)> received);
   ~Links();
   Links(const Links&) = delete;
@@ -61,7 +61,7 @@
   void End(Outbound& out);
   void End(Inbound& in);
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Settings settings_;
   std::function<void(const std::string&, Frame)> received_;
   std::map<std::string, std::string> addresses_;
--- a/src/cluster/copies/reconfiguration.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -128,7 +128,7 @@
       // The log grows on, and it is tried again when it has grown as much again.
       compact_failed_.store(true);
     }
-    work_done_wakeup_.Ask();
+    work_done_wakeup_.Notify();
   });
 }
 
--- a/src/cluster/copies/replica_manager.cpp
+++ b/src/cluster/copies/replica_manager.cpp
@@ -24,7 +24,7 @@
   return front.empty() ? "" : group.substr(0, group.rfind("/" + front + "/"));
 }
 
-ReplicaManager::ReplicaManager(net::Shared& shared, const Settings& settings)
+ReplicaManager::ReplicaManager(net::StreamContext& shared, const Settings& settings)
     : shared_(shared),
       settings_(settings),
       boot_time_(net::Loop::WallClock()),
@@ -54,7 +54,7 @@
       lookup_retry_timer_(shared.loop, [this] { RetryLookups(); }),
       links_(shared, {settings.fleet, settings.name, settings.listen, settings.dial_addresses},
              [this](const std::string& from, Frame frame) { OnFrame(from, std::move(frame)); }),
-      replica_store_(settings.folder, [this] { written_wakeup_.Ask(); }) {
+      replica_store_(settings.folder, [this] { written_wakeup_.Notify(); }) {
   for (StoredGroup& g : replica_store_.Read()) AddGroup(std::move(g), true);
   check_timer_.Start(kCheckInterval);
 }
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -59,14 +59,15 @@
     // Nothing of it is in hand; from the first asking on nothing is begun.
     std::function<bool(const std::string& group, const std::string& front)> idle;
     // A worker's word that reached another. `told`: whether it is stored. False: no such job is held here.
-    std::function<bool(const std::string& front, core::HopCallback news, std::function<void(bool)> told)> report;
+    std::function<bool(const std::string& front, core::HopCallback news, std::function<void(bool)> told)>
+        report;
     // Whether a job is known here; told perhaps within.
     std::function<void(const std::string& front, const JobName& name, std::function<void(LookupResult)> told)>
         find;
   };
 
   // Throws durable::StoreError and std::runtime_error as Disk and Links do.
-  ReplicaManager(net::Shared& shared, const Settings& settings);
+  ReplicaManager(net::StreamContext& shared, const Settings& settings);
   ~ReplicaManager();
   ReplicaManager(const ReplicaManager&) = delete;
   ReplicaManager& operator=(const ReplicaManager&) = delete;
@@ -134,7 +135,7 @@
   void OnReply(const std::string& from, const Frame& f);
   log::ServerId NewServerId();
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Settings settings_;
   Micros boot_time_, started_at_;
   std::function<std::vector<KnownMember>()> member_source_;
--- a/src/cluster/copies/takeover.cpp
+++ b/src/cluster/copies/takeover.cpp
@@ -47,7 +47,7 @@
   if (!g.claim_pending || batch->epoch != g.epoch) return true;
   g.claim_pending = false;
   g.releasing = false;
-  g.channel = std::make_shared<LogChannel>([this] { proposals_wakeup_.Ask(); });
+  g.channel = std::make_shared<LogChannel>([this] { proposals_wakeup_.Notify(); });
   g.claim_index = index;
   if (!g.opening) LoadJobs(g);
   return true;
@@ -103,7 +103,7 @@
     }
     const std::lock_guard hold(results_lock_);
     loaded_.push_back(std::move(out));
-    work_done_wakeup_.Ask();
+    work_done_wakeup_.Notify();
   });
   load_queue_.pop_front();
 }
@@ -190,7 +190,7 @@
   }
   Micros last_warning_at = shared_.loop.Now();
   while (!g->channel || g->log->role() != log::Role::kLeader) {
-    shared_.loop.RunTurn();
+    shared_.loop.WaitAndRunOnce();
     if (g->log->role() == log::Role::kLeader && g->log->commit_index() == g->log->last_index())
       ClaimGroup(*g);
     if (shared_.loop.Now() - last_warning_at < 5 * kSecond) continue;
--- a/src/cluster/net/node.cpp
+++ b/src/cluster/net/node.cpp
@@ -51,7 +51,7 @@
     timer.Start(kLinkTimeout);
   }
 
-  void OnUp() override { node.Post(ExchangeConnected{id}); }
+  void OnConnected() override { node.Post(ExchangeConnected{id}); }
   void OnData(std::string_view bytes) override {
     in.append(bytes);
     while (!gone && !closing && in.size() >= kLengthBytes) {
@@ -85,8 +85,8 @@
   std::list<std::shared_ptr<Link>>::iterator position;
 };
 
-Node::Node(net::Shared& shared, const Options& options, const std::string& name, const std::string& zone,
-           const std::string& fronts, std::uint64_t seed, Callbacks callbacks)
+Node::Node(net::StreamContext& shared, const Options& options, const std::string& name,
+           const std::string& zone, const std::string& fronts, std::uint64_t seed, Callbacks callbacks)
     : shared_(shared),
       options_(options),
       callbacks_(std::move(callbacks)),
@@ -272,7 +272,7 @@
 }
 
 bool Node::EvictOldestLinkIfFull() {
-  if (links_.size() >= kMaxLinks) RemoveLink(*links_.front(), net::Reason::kMakeRoom);
+  if (links_.size() >= kMaxLinks) RemoveLink(*links_.front(), net::Reason::kEvicted);
   return true;
 }
 
@@ -286,7 +286,7 @@
   link.timer.Stop();
   if (link.stream.open()) link.stream.Close(reason);
   const std::uint64_t id = link.id;
-  shared_.loop.Bury(std::move(*link.position));
+  shared_.loop.DestroyLater(std::move(*link.position));
   links_.erase(link.position);
   Post(ExchangeClosed{id});
 }
--- a/src/cluster/net/node.h
+++ b/src/cluster/net/node.h
@@ -41,7 +41,7 @@
 
   // `name`, `zone`: the scheduler's, used if the options have none. Throws std::runtime_error if it cannot
   // listen, or if the name or zone is not allowed in messages.
-  Node(net::Shared& shared, const Options& options, const std::string& name, const std::string& zone,
+  Node(net::StreamContext& shared, const Options& options, const std::string& name, const std::string& zone,
        const std::string& fronts, std::uint64_t seed, Callbacks callbacks);
   ~Node();
   Node(const Node&) = delete;
@@ -74,7 +74,7 @@
   void RemoveLink(Link& link, net::Reason reason);
   Link* FindLink(std::uint64_t id);
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Options options_;
   Callbacks callbacks_;
   int fd_ = -1;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -108,8 +108,8 @@
 std::vector<std::string> NeedsRestart(const Config& in_force, const Config& next) {
   std::vector<std::string> keys;
   if (next.name != in_force.name) keys.push_back("name");
-  if (!net::Same(next.listen, in_force.listen)) keys.push_back("listen");
-  if (next.has_console != in_force.has_console || !net::Same(next.console, in_force.console))
+  if (!net::SameAddress(next.listen, in_force.listen)) keys.push_back("listen");
+  if (next.has_console != in_force.has_console || !net::SameAddress(next.console, in_force.console))
     keys.push_back("console");
   if (next.sockets != in_force.sockets) keys.push_back("limits.sockets");
   if (next.memory_mb != in_force.memory_mb) keys.push_back("limits.memory_mb");
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-Watch::Watch(net::Shared& shared, RouteTable& table, const net::Address& at, std::uint64_t seed, Micros grace,
-             std::function<void(core::RoutesChanged)> changed)
+Watch::Watch(net::StreamContext& shared, RouteTable& table, const net::Address& at, std::uint64_t seed,
+             Micros grace, std::function<void(core::RoutesChanged)> changed)
     : shared_(shared),
       table_(table),
       at_(at),
@@ -72,10 +72,10 @@
   patience_.Start(moved_ ? kListPatience : hold + kPatience);
   // Guards against a call on a connection that discovery has ended, or on which there is more than it was
   // asked for: that would be taken for the answer.
-  if (stream_ && stream_->up() && stream_->Peek() != net::Stream::Unread::kNothing)
+  if (stream_ && stream_->connected() && stream_->Peek() != net::Stream::Unread::kNothing)
     stream_->Close(net::Reason::kProtocol);
   if (!stream_ || !stream_->open()) {
-    if (stream_) shared_.loop.Bury(std::move(stream_));
+    if (stream_) shared_.loop.DestroyLater(std::move(stream_));
     reader_ = std::make_unique<http::Reader>(HTTP_RESPONSE, kMostAnswer);
     stream_ =
         std::make_shared<net::Stream>(shared_, at_, kDialTimeout, "discovery " + net::ToText(at_), *this);
@@ -217,7 +217,7 @@
 CallFailure Watch::Meaning(Failure failure) const {
   switch (failure) {
     case Failure::kConnectFailed:
-      return stream_->refused() ? CallFailure::kRefused : CallFailure::kUnreachable;
+      return stream_->connection_refused() ? CallFailure::kRefused : CallFailure::kUnreachable;
     case Failure::kEnded:
     case Failure::kNoAnswer:
       return answer_began_ == 0 ? CallFailure::kUnreachable : CallFailure::kUnusable;
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -21,8 +21,8 @@
   // is this clock's to say. Where the list may not be acted on any more, it gets a whole list of nothing, and
   // once it may be again, the whole list. `seed`: schedulers that lost their watches in one moment must not
   // call again in one. `grace`: see ListLease.
-  Watch(net::Shared& shared, RouteTable& table, const net::Address& at, std::uint64_t seed, Micros grace,
-        std::function<void(core::RoutesChanged)> changed);
+  Watch(net::StreamContext& shared, RouteTable& table, const net::Address& at, std::uint64_t seed,
+        Micros grace, std::function<void(core::RoutesChanged)> changed);
   // Whether the list may be acted on, as `changed` was last told.
   bool usable() const { return usable_; }
   // The same by the clock: a process that was held up may look before its timers do.
@@ -70,11 +70,11 @@
   CallFailure Meaning(Failure failure) const;
   bool LookAtLease();
   void LogAnswer(std::uint64_t from, const core::RoutesChanged& change) const;
-  void OnUp() override {}
+  void OnConnected() override {}
   void OnData(std::string_view bytes) override;
   void OnEnd(net::Reason reason) override;
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   RouteTable& table_;
   net::Address at_;
   std::function<void(core::RoutesChanged)> changed_;
--- a/src/fronts/console/console.cpp
+++ b/src/fronts/console/console.cpp
@@ -46,7 +46,7 @@
   std::list<std::shared_ptr<Caller>>::iterator place;
 };
 
-Console::Console(net::Shared& shared, const net::Address& at, Handler handler)
+Console::Console(net::StreamContext& shared, const net::Address& at, Handler handler)
     : shared_(shared),
       handler_(std::move(handler)),
       listener_(
@@ -61,7 +61,7 @@
 bool Console::MakeRoom(bool must) {
   if (!must && callers_.size() < kMostCallers) return true;
   if (callers_.empty()) return false;
-  Remove(*callers_.front(), net::Reason::kMakeRoom);
+  Remove(*callers_.front(), net::Reason::kEvicted);
   return true;
 }
 
@@ -74,7 +74,7 @@
   if (std::exchange(caller.gone, true)) return;
   caller.timer.Stop();
   if (caller.stream.open()) caller.stream.Close(reason);
-  shared_.loop.Bury(std::move(*caller.place));
+  shared_.loop.DestroyLater(std::move(*caller.place));
   callers_.erase(caller.place);
 }
 
--- a/src/fronts/console/console.h
+++ b/src/fronts/console/console.h
@@ -35,7 +35,7 @@
   static constexpr std::size_t kMostCall = 4 * 1024;  // head and body
 
   // Throws std::runtime_error where it cannot listen.
-  Console(net::Shared& shared, const net::Address& at, Handler handler);
+  Console(net::StreamContext& shared, const net::Address& at, Handler handler);
   ~Console();
   Console(const Console&) = delete;
   Console& operator=(const Console&) = delete;
@@ -47,7 +47,7 @@
   void Accepted(int fd, const net::Address& from);
   void Remove(Caller& caller, net::Reason reason);
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Handler handler_;
   std::list<std::shared_ptr<Caller>> callers_;  // the oldest in front
   net::Listener listener_;
--- a/src/fronts/faktory/connection.h
+++ b/src/fronts/faktory/connection.h
@@ -131,7 +131,7 @@
   bool round = false;            // of a durable job: nobody waits for its end here
 
   // Asked when a hop is about to leave: the client's end may be here already, and only not read yet.
-  bool client_gone() const { return !round && (client == nullptr || client->stream.PeerGone()); }
+  bool client_gone() const { return !round && (client == nullptr || client->stream.PeerClosed()); }
 };
 
 }  // namespace heronway::faktory
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -44,7 +44,7 @@
 
 // Refuses the client where no job can be taken now.
 bool Front::CanTake(Connection& c) {
-  if (!driver_.StoreFull() && !reducer().draining()) return true;
+  if (!driver_.StoreUnavailable() && !reducer().draining()) return true;
   ++turned_away_;
   c.Send(Error(reducer().draining() ? "SHED it stops; come back in 1.000 s"
                                     : "SHED the store can take no more now; come back in 1.000 s"));
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -49,7 +49,7 @@
   front.Remove(*this, greeted ? net::Reason::kIdle : net::Reason::kSlowRequest);
 }
 
-Front::Front(net::Shared& shared, const config::Config& config, const config::Options& options,
+Front::Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
              const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained)
     : shared_(shared),
       config_(config),
@@ -101,7 +101,7 @@
     return c->worker == nullptr && !c->busy() && c->stream.all_sent();
   });
   if (it == connections_.end()) return false;
-  Remove(**it, net::Reason::kMakeRoom);
+  Remove(**it, net::Reason::kEvicted);
   return true;
 }
 
@@ -124,7 +124,7 @@
   const auto it =
       std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
   if (it == connections_.end()) return;
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   connections_.erase(it);
   if (worker == nullptr) return;
   std::erase(worker->connections, &c);
@@ -409,7 +409,7 @@
       return h.job->ticket == ticket && h.number == n && h.on == nullptr;
     });
     if (it == worker.hops.end()) return;
-    shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(it->patience)));
+    shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->patience)));
     worker.hops.erase(it);
     driver_.Post(core::HopEnded{ticket, n, Result::kFull, LoadOf(worker)});
   });
@@ -432,7 +432,7 @@
         std::find_if(worker.connections.begin(), worker.connections.end(), [&hop](const Connection* c) {
           // One that has ended, unread so far, would leave the job as one that may have run.
           return c->fetching && std::count(c->queues.begin(), c->queues.end(), hop.job->queue) > 0 &&
-                 !c->stream.PeerGone();
+                 !c->stream.PeerClosed();
         });
     if (taker == worker.connections.end()) continue;
     hop.on = *taker;
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -28,7 +28,7 @@
 
 class Front {
  public:
-  Front(net::Shared& shared, const config::Config& config, const config::Options& options,
+  Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
         const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
   void Drain() { driver_.Post(core::DrainStarted{}); }
@@ -105,7 +105,7 @@
   void TellLoad(Worker& worker);
   void ForgetOldAnswers();
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   const config::Config& config_;
   config::FaktoryConfig faktory_;
   match::Service* rules_;
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -111,7 +111,7 @@
       [this, id](bool stored) {
         // What no majority has may be answered otherwise by another: it is told when it is stored, or not at
         // all.
-        if (!stored && driver_.copied()) return;
+        if (!stored && driver_.replicated()) return;
         core::Settled now{id};
         if (const auto* job = reducer().keeper()->book().Find(id);
             job == nullptr || job->state == durable::State::kAnswered)
@@ -134,7 +134,7 @@
     break;
   }
   it->second.patience->Stop();
-  shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(it->second.patience)));
+  shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->second.patience)));
   joined_.erase(it);
 }
 
--- a/src/fronts/http/egress.cpp
+++ b/src/fronts/http/egress.cpp
@@ -14,7 +14,7 @@
         timer(owner.shared_.loop, [this] { OnTimer(); }),
         stream(owner.shared_, address, owner.limits_.dial_timeout, "egress " + net::ToText(address), *this) {}
 
-  void OnUp() override {
+  void OnConnected() override {
     if (call != 0) Depart();
     if (egress.dialled_) egress.dialled_(target, true);  // it may end this connection
   }
@@ -42,7 +42,7 @@
     egress.Finish(*this, {Reply::Kind::kAnswered, std::move(answer)}, reusable);
   }
   void OnEnd(net::Reason) override {
-    if (stream.refused() && egress.dialled_) egress.dialled_(target, false);
+    if (stream.connection_refused() && egress.dialled_) egress.dialled_(target, false);
     if (call != 0 && reused) egress.distrust_until_ = egress.shared_.loop.Now() + kDistrust;
     // Guards the line between "never ran" and "may have run": the last byte's leaving.
     egress.Finish(*this, {gone_out() ? Reply::Kind::kBroken : Reply::Kind::kNeverSent, {}}, false);
@@ -81,7 +81,7 @@
     // Guards against a request that ends as a reset, or is answered by what an earlier one left behind: the
     // target's close, or its late bytes, may be here already and only not read yet.
     const net::Stream::Unread unread = c.stream.Peek();
-    if (net::Same(c.at, at) && unread == net::Stream::Unread::kNothing) {
+    if (net::SameAddress(c.at, at) && unread == net::Stream::Unread::kNothing) {
       c.reused = true;
       Begin(c, std::move(compose), patience, id, std::move(done));
       return id;
@@ -96,7 +96,7 @@
     *timer = std::make_unique<net::Timer>(shared_.loop, [this, timer, done = std::move(done)] {
       auto keep = std::move(*timer);
       done({Reply::Kind::kNoRoom, {}});
-      shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(keep)));
+      shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(keep)));
     });
     (*timer)->Start(0);
     return id;
@@ -115,7 +115,7 @@
   c.done = std::move(done);
   calls_[id] = &c;
   c.timer.Stop();
-  if (c.stream.up()) c.Depart();
+  if (c.stream.connected()) c.Depart();
 }
 
 bool Egress::Close(CallId call) {
@@ -124,13 +124,13 @@
   Connection& c = *it->second;
   const bool never_sent = !c.gone_out();
   calls_.erase(it);
-  Remove(c, net::Reason::kCalledOff);
+  Remove(c, net::Reason::kCancelled);
   return never_sent;
 }
 
 void Egress::CatchUp(CallId call) {
   const auto it = calls_.find(call);
-  if (it != calls_.end()) it->second->stream.CatchUp();
+  if (it != calls_.end()) it->second->stream.ReadAllPending();
 }
 
 void Egress::Expire(CallId call, Micros patience) {
@@ -155,7 +155,7 @@
     Remove(c, reply.kind == Reply::Kind::kAnswered    ? net::Reason::kAnswered
               : reply.kind == Reply::Kind::kNoAnswer  ? net::Reason::kNoAnswer
               : reply.kind == Reply::Kind::kNeverSent ? net::Reason::kConnectFailed
-              : reply.kind == Reply::Kind::kWithdrawn ? net::Reason::kCalledOff
+              : reply.kind == Reply::Kind::kWithdrawn ? net::Reason::kCancelled
                                                       : net::Reason::kBadMessage);
   }
   if (done) done(reply);
@@ -168,7 +168,7 @@
   const auto it =
       std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
   if (it == connections_.end()) return;
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   connections_.erase(it);
 }
 
@@ -184,7 +184,7 @@
 bool Egress::MakeRoom() {
   for (const auto& c : connections_) {
     if (c->call != 0) continue;
-    Remove(*c, net::Reason::kMakeRoom);
+    Remove(*c, net::Reason::kEvicted);
     return true;
   }
   return false;
--- a/src/fronts/http/egress.h
+++ b/src/fronts/http/egress.h
@@ -49,7 +49,7 @@
   // How a dial ended: its connection is up, or the target's machine refused it.
   using Dialled = std::function<void(core::TargetId, bool came_up)>;
 
-  Egress(net::Shared& shared, const Limits& limits, Dialled dialled = nullptr)
+  Egress(net::StreamContext& shared, const Limits& limits, Dialled dialled = nullptr)
       : shared_(shared),
         limits_(limits),
         dialled_(std::move(dialled)),
@@ -87,7 +87,7 @@
   }
   bool Distrusts() const { return shared_.loop.Now() < distrust_until_; }
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Limits limits_;
   Dialled dialled_;
   net::Timer give_back_;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -60,8 +60,8 @@
   return Budget::From(sockets, static_cast<std::size_t>(config.memory_mb) * 1024 * 1024, others);
 }
 
-Front::Front(net::Shared& shared, const config::Config& config, const config::Options& options, bool faktory,
-             match::Service* rules, std::function<void()> drained)
+Front::Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+             bool faktory, match::Service* rules, std::function<void()> drained)
     : shared_(shared),
       config_(config),
       rules_(rules),
@@ -146,7 +146,8 @@
 
 bool Front::Ready() const {
   const auto& r = driver_.reducer();
-  return watch_.usable() && routes_.AnyReady() && !r.draining() && !r.cordoned() && !driver_.StoreFull();
+  return watch_.usable() && routes_.AnyReady() && !r.draining() && !r.cordoned() &&
+         !driver_.StoreUnavailable();
 }
 
 std::size_t Front::Avoided() const {
@@ -213,9 +214,9 @@
     }
     const auto oldest = At(stage).front();
     // Guards a usual client amid a flood: its request may be there already, and only not read yet.
-    if (oldest->stream.ReadWaiting()) continue;
+    if (oldest->stream.ReadPending()) continue;
     ++made_room_;
-    Remove(*oldest, net::Reason::kMakeRoom);
+    Remove(*oldest, net::Reason::kEvicted);
     return true;
   }
   NoteFull();
@@ -251,7 +252,7 @@
       Ingress& idle = *At(stage).front();
       if (idle.spilling) {  // it has its answer, and a time of its own
         At(stage).splice(At(stage).end(), At(stage), idle.place);
-      } else if (!idle.stream.ReadWaiting()) {
+      } else if (!idle.stream.ReadPending()) {
         Remove(idle, net::Reason::kShutdown);
       }
     }
@@ -259,7 +260,7 @@
   for (const auto& fresh :
        Places(At(Stage::kFresh))) {  // a copy: those that are read or closed leave the list
     if (fresh->left || fresh->reader.begun() || shared_.loop.Now() - fresh->since <= kSilent) continue;
-    if (!fresh->stream.ReadWaiting() && !fresh->left) Remove(*fresh, net::Reason::kShutdown);
+    if (!fresh->stream.ReadPending() && !fresh->left) Remove(*fresh, net::Reason::kShutdown);
   }
   if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
     if (!std::exchange(refusing_, true)) LogStop("refusing");
@@ -273,7 +274,7 @@
 void Front::EndComing() {
   for (const Stage stage : {Stage::kFresh, Stage::kComing}) {
     for (const auto& coming : Places(At(stage))) {
-      if (coming->left || !coming->reader.begun() || coming->stream.ReadWaiting()) continue;
+      if (coming->left || !coming->reader.begun() || coming->stream.ReadPending()) continue;
       if (!coming->left && coming->reader.begun()) coming->Spoilt(503, "shutting down\n");
     }
   }
@@ -380,7 +381,7 @@
   incoming_bytes_ -= std::exchange(in.counted, 0);
   --ingress_count_;
   auto& places = At(in.placed);
-  shared_.loop.Bury(std::move(*in.place));
+  shared_.loop.DestroyLater(std::move(*in.place));
   places.erase(in.place);
 }
 
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -33,8 +33,8 @@
  public:
   // `faktory`: the second front is on, and has a part of the descriptors. `rules`: asked of each request;
   // null: there are none.
-  Front(net::Shared& shared, const config::Config& config, const config::Options& options, bool faktory,
-        match::Service* rules, std::function<void()> drained);
+  Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+        bool faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
   void Drain();
   // An operator's drain (`on`) or its end: no to /ready, idle clients closed, all else served as before.
@@ -161,7 +161,7 @@
   std::optional<pebblenotch::Report> ReadLoad(std::string_view text) const;
   std::optional<pebblenotch::Report> ToReport(const std::map<std::string, double>& values) const;
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   const config::Config& config_;
   match::Service* rules_;
   std::function<void()> drained_;
--- a/src/fronts/http/hops.cpp
+++ b/src/fronts/http/hops.cpp
@@ -33,7 +33,7 @@
     return false;
   if (!watch_.Valid()) return false;
   const Ingress* from = it->second.from;  // null: a round of a durable job, for which nobody waits
-  return from == nullptr || !from->stream.PeerGone();
+  return from == nullptr || !from->stream.PeerClosed();
 }
 
 // A hop as its target gets it. What it is told of the time left is what is left as the bytes leave.
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -43,7 +43,7 @@
       ahead_came = front.shared_.loop.Now();
       if (ahead.size() > kMostAhead) stream.PauseReading(true);
     } else {
-      came = front.shared_.loop.Now() - stream.SinceLastCame();
+      came = front.shared_.loop.Now() - stream.SinceLastReceived();
       Feed(bytes);
     }
     if (stream.open()) front.Settle(*this);
@@ -141,7 +141,7 @@
     // It came in time, the rest of what has begun as well, and only was not read yet.
     const bool begun = reader.begun();
     bool any_came = false;
-    while (stream.open() && !timer.running() && ticket == 0 && stream.ReadWaiting()) {
+    while (stream.open() && !timer.running() && ticket == 0 && stream.ReadPending()) {
       any_came = true;
       if (!begun) break;
     }
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -152,7 +152,8 @@
   const std::size_t size = message.size();
   // Guards memory and descriptors: what cannot be held is refused at once, before anything was done about it.
   if (driver_.reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
-      pending_bytes_ + size > budget_.held_bytes || !MayHold() || (!alias.empty() && driver_.StoreFull())) {
+      pending_bytes_ + size > budget_.held_bytes || !MayHold() ||
+      (!alias.empty() && driver_.StoreUnavailable())) {
     ++turned_away_;
     if (driver_.reducer().limits() == nullptr)
       return in.Answer(503, {{"Retry-After", "1"}}, "too many requests held\n");
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -45,7 +45,7 @@
     const config::Config next = config::Load(path, config::Reading::kAgain);
     for (const std::string& key : config::NeedsRestart(in_force, next))
       log::Event(log::Level::kWarn, "reload", {{"waits_for_next_start", key}});
-    const bool moved = !net::Same(next.discovery, in_force.discovery);
+    const bool moved = !net::SameAddress(next.discovery, in_force.discovery);
     if (rules != nullptr && rules->Replace(options.match.rules, text)) {
       front.RulesChanged();
       if (second != nullptr) second->RulesChanged();
@@ -73,7 +73,7 @@
 }
 
 // Makes this scheduler a member of its fleet; what the fleet looks like goes to the reducers.
-std::unique_ptr<cluster::Node> JoinFleet(net::Shared& shared, const config::Config& config,
+std::unique_ptr<cluster::Node> JoinFleet(net::StreamContext& shared, const config::Config& config,
                                          const config::Options& options, http::Front& front,
                                          faktory::Front* second,
                                          const cluster::copies::ReplicaManager* copies) {
@@ -95,12 +95,13 @@
 // Whether `join` names another than this member itself.
 bool ExpectsOthers(const cluster::Options& options) {
   return std::any_of(options.join.begin(), options.join.end(), [&options](const net::Address& at) {
-    return !net::Same(at, options.listen) && !net::Same(at, options.advertise);
+    return !net::SameAddress(at, options.listen) && !net::SameAddress(at, options.advertise);
   });
 }
 
 // Null where no copies are kept. The fronts' stores are led through it.
-std::unique_ptr<cluster::copies::ReplicaManager> KeepCopies(net::Shared& shared, const config::Config& config,
+std::unique_ptr<cluster::copies::ReplicaManager> KeepCopies(net::StreamContext& shared,
+                                                            const config::Config& config,
                                                             config::Options& options) {
   if (options.cluster.copies <= 1) return nullptr;
   const cluster::Options& o = options.cluster;
@@ -153,31 +154,31 @@
   };
   copies.SetFrontHooks(
       {[driver](durable::Held held) {
-         if (net::Driver* d = driver(held.front)) d->Hold(std::move(held));
+         if (net::Driver* d = driver(held.front)) d->AdoptJobs(std::move(held));
        },
        [driver](const std::string& group, const std::string& name, bool own) {
-         if (net::Driver* d = driver(name)) d->Lose(group, own);
+         if (net::Driver* d = driver(name)) d->LoseGroup(group, own);
        },
        [driver](const std::string& group, const std::string& name) {
          net::Driver* d = driver(name);
-         return d == nullptr || d->Idle(group);
+         return d == nullptr || d->QuiesceGroup(group);
        },
        [driver](const std::string& name, core::HopCallback news, std::function<void(bool)> told) {
          net::Driver* d = driver(name);
-         return d != nullptr && d->TakeWord(std::move(news), std::move(told));
+         return d != nullptr && d->HandleReport(std::move(news), std::move(told));
        },
        [driver](const std::string& name, const cluster::copies::JobName& job,
                 std::function<void(cluster::copies::LookupResult)> told) {
          net::Driver* d = driver(name);
          if (d == nullptr) return told({});
-         d->Find(job.text, job.is_alias,
-                 [told](const durable::Job* found, bool known_now) { told(VerdictOf(found, known_now)); });
+         d->FindJob(job.text, job.is_alias,
+                    [told](const durable::Job* found, bool known_now) { told(VerdictOf(found, known_now)); });
        }});
   const auto lead = [&copies, driver](const std::string& name) {
     return [&copies, d = driver(name), name](const core::HopCallback& news,
                                              cluster::copies::ReportForwarder::Done told) {
       // It may be among those that are still coming.
-      if (d->coming()) return told(cluster::copies::ForwardOutcome::kRetry);
+      if (d->adopting()) return told(cluster::copies::ForwardOutcome::kRetry);
       copies.ForwardReport(name, news, std::move(told));
     };
   };
@@ -208,7 +209,7 @@
   net::BufferPool pool(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 * 3 / 10 /
                        sizeof(net::Buffer));
   net::Loop loop;
-  net::Shared shared{loop, pool, options.log.connections};
+  net::StreamContext shared{loop, pool, options.log.connections};
   int undrained = faktory.enabled ? 2 : 1;
   const auto drained = [&] {
     if (--undrained == 0) loop.Stop();
@@ -301,7 +302,8 @@
     return front.reducer().pending() > 0 || front.Answering() ||
            (second && (second->reducer().pending() > 0 || second->Answering()));
   };
-  for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1) busy() ? loop.RunTurn() : loop.RunOnce();
+  for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1)
+    busy() ? loop.WaitAndRunOnce() : loop.RunOnce();
   front.CheckExit();
   print();
   return 0;
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -88,7 +88,7 @@
     g != nullptr ? g->WhenStored(std::move(then)) : then(reducer_.keeper() == nullptr);
   }
   // The store can take nothing now: new durable jobs are refused.
-  bool StoreFull() const {
+  bool StoreUnavailable() const {
     if (reducer_.keeper() == nullptr) return false;
     const Gate* own = gate();
     // Guards against a job that is taken anew while what was known of it is still coming.
@@ -98,7 +98,7 @@
 
   // ---- jobs that another scheduler held, or another process of this one
   // Takes them on. `own`: they are this scheduler's, whose home was lost before.
-  void Hold(durable::Held held) {
+  void AdoptJobs(durable::Held held) {
     const int home = held.own ? 0 : ++last_home_;
     homes_[held.group] = home;
     gates_[home] = MakeGate(std::move(held.store), true);
@@ -106,7 +106,7 @@
     if (!come_.running()) come_.Start(1);
   }
   // Whether none of them is in hand; from the first asking on none begins another round.
-  bool Idle(const std::string& group) {
+  bool QuiesceGroup(const std::string& group) {
     const auto it = homes_.find(group);
     if (it == homes_.end()) return true;
     Post(core::HomeClosing{it->second});
@@ -116,7 +116,7 @@
            (g == nullptr || g->writer().stored() == g->writer().handed());
   }
   // A worker's word that reached another scheduler. False: no such job is held here.
-  bool TakeWord(core::HopCallback news, Gate::Stored told) {
+  bool HandleReport(core::HopCallback news, Gate::Stored told) {
     const durable::Keeper* keeper = reducer_.keeper();
     if (keeper == nullptr) return false;
     if (keeper->book().Find(news.id) == nullptr) {
@@ -131,8 +131,8 @@
   }
   // What is known here of a job, once that is stored. `told` is called once, perhaps within: with the job,
   // null where there is none, and whether that can be told at this moment.
-  void Find(const std::string& name, bool is_alias,
-            std::function<void(const durable::Job* job, bool known_now)> told) {
+  void FindJob(const std::string& name, bool is_alias,
+               std::function<void(const durable::Job* job, bool known_now)> told) {
     const durable::Keeper* keeper = reducer_.keeper();
     const std::string* by_alias = keeper != nullptr && is_alias ? keeper->book().IdOf(name) : nullptr;
     const std::string id = !is_alias ? name : by_alias != nullptr ? *by_alias : "";
@@ -141,11 +141,11 @@
         [this, id, told = std::move(told)](bool stored) { told(reducer_.keeper()->book().Find(id), stored); },
         keeper->HomeOf(id));
   }
-  bool coming() const { return !coming_.empty(); }  // more jobs than are known so far
+  bool adopting() const { return !coming_.empty(); }  // more jobs than are known so far
   // Stored means: on a majority of the copies, and another may answer otherwise from what is not.
-  bool copied() const { return copied_; }
+  bool replicated() const { return copied_; }
   // They are another's from here on.
-  void Lose(const std::string& group, bool own) {
+  void LoseGroup(const std::string& group, bool own) {
     const auto it = homes_.find(group);
     const int home = own ? 0 : it == homes_.end() ? -1 : it->second;
     const auto here = gates_.find(home);
--- a/src/net/gate.h
+++ b/src/net/gate.h
@@ -45,7 +45,7 @@
         changed_(std::move(changed)),
         wakeup_(loop, [this] { Look(); }),
         overdue_(loop, [this] { LookForOverdue(); }),
-        writer_(std::move(store), settings, [this] { wakeup_.Ask(); }) {}
+        writer_(std::move(store), settings, [this] { wakeup_.Notify(); }) {}
 
   void Hand(std::vector<durable::Record> records) {
     const Micros began = loop_.Now();
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -24,7 +24,7 @@
 
 void OnSignal(int number) {
   const int error = errno;
-  if (Wakeup* wakeup = by_signal[static_cast<std::size_t>(number)].load()) wakeup->Ask();
+  if (Wakeup* wakeup = by_signal[static_cast<std::size_t>(number)].load()) wakeup->Notify();
   errno = error;
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -34,10 +34,10 @@
   // times that other machines tell, with nothing resting on it that a wrong clock could break.
   static Micros WallClock();
   // Keeps an object that may be in use by a caller until the loop comes round.
-  void Bury(std::shared_ptr<void> object) { buried_.push_back(std::move(object)); }
+  void DestroyLater(std::shared_ptr<void> object) { buried_.push_back(std::move(object)); }
   void Run() { ev_run(loop_, 0); }
   void RunOnce() { ev_run(loop_, EVRUN_NOWAIT); }
-  void RunTurn() { ev_run(loop_, EVRUN_ONCE); }  // waits for something to happen
+  void WaitAndRunOnce() { ev_run(loop_, EVRUN_ONCE); }  // waits for something to happen
   void Stop() { ev_break(loop_, EVBREAK_ALL); }
 
  private:
@@ -81,7 +81,7 @@
   ~Wakeup();
   Wakeup(const Wakeup&) = delete;
   Wakeup& operator=(const Wakeup&) = delete;
-  void Ask() {
+  void Notify() {
     if (!asked_.exchange(true)) loop_.Interrupt();
   }
 
--- a/src/net/reason.h
+++ b/src/net/reason.h
@@ -11,13 +11,13 @@
   kPeerReset,      // it broke
   kConnectFailed,  // it never came up: refused, unreachable or too slow
   kIdle,           // unused for too long
-  kMakeRoom,       // idle, and its descriptor was needed
+  kEvicted,        // idle, and its descriptor was needed
   kSlowRequest,    // the peer took too long over a request
   kSlowReader,     // the peer took too long to read what it was sent
   kBadMessage,     // what came could not be read
   kTooLarge,       // over a limit on size
   kAnswered,       // closed after the last answer, as announced
-  kCalledOff,      // a hop was called off before it was taken
+  kCancelled,      // a hop was called off before it was taken
   kNoAnswer,       // the peer took too long to answer
   kNoMemory,       // the pool of buffers was empty
   kProtocol,       // the peer broke the protocol's order
@@ -35,7 +35,7 @@
       return "connect_failed";
     case Reason::kIdle:
       return "idle";
-    case Reason::kMakeRoom:
+    case Reason::kEvicted:
       return "make_room";
     case Reason::kSlowRequest:
       return "slow_request";
@@ -47,7 +47,7 @@
       return "too_large";
     case Reason::kAnswered:
       return "answered";
-    case Reason::kCalledOff:
+    case Reason::kCancelled:
       return "called_off";
     case Reason::kNoAnswer:
       return "no_answer";
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -65,11 +65,11 @@
   return std::string(host) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-bool Same(const Address& a, const Address& b) {
+bool SameAddress(const Address& a, const Address& b) {
   return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
 }
 
-Stream::Stream(Shared& shared, int fd, std::string label, Owner& owner)
+Stream::Stream(StreamContext& shared, int fd, std::string label, Owner& owner)
     : shared_(shared),
       owner_(owner),
       label_(std::move(label)),
@@ -83,7 +83,7 @@
   io_.Start(fd_, EV_READ);
 }
 
-Stream::Stream(Shared& shared, const Address& to, Micros dial_timeout, std::string label, Owner& owner)
+Stream::Stream(StreamContext& shared, const Address& to, Micros dial_timeout, std::string label, Owner& owner)
     : shared_(shared),
       owner_(owner),
       label_(std::move(label)),
@@ -128,9 +128,9 @@
 // What the system takes at once needs no buffer: that others, who don't read, have used up the pool must not
 // cost this peer its answer.
 void Stream::Write(std::string_view bytes) {
-  if (up() && out_.empty()) bytes.remove_prefix(SendAtOnce(bytes));
+  if (connected() && out_.empty()) bytes.remove_prefix(SendAtOnce(bytes));
   if (!out_.Append(bytes)) return End(Reason::kNoMemory);
-  if (up()) WriteSome();
+  if (connected()) WriteSome();
 }
 
 void Stream::Close(Reason reason) {
@@ -138,12 +138,12 @@
 }
 
 void Stream::FinishWriting(Reason as) {
-  if (up() && !std::exchange(finished_, as)) shutdown(fd_, SHUT_WR);
+  if (connected() && !std::exchange(finished_, as)) shutdown(fd_, SHUT_WR);
 }
 
 void Stream::PauseReading(bool pause) {
   paused_ = pause;
-  if (up()) Watch();
+  if (connected()) Watch();
 }
 
 void Stream::Watch() {
@@ -166,7 +166,7 @@
     dialling_ = false;
     dial_timer_.Stop();
     Watch();
-    owner_.OnUp();
+    owner_.OnConnected();
     if (open() && !out_.empty()) WriteSome();
     return;
   }
@@ -197,7 +197,7 @@
 }
 
 Stream::Unread Stream::Peek() const {
-  if (!up()) return open() ? Unread::kNothing : Unread::kEnd;
+  if (!connected()) return open() ? Unread::kNothing : Unread::kEnd;
   char first;
   const ssize_t n = recv(fd_, &first, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0) return Unread::kBytes;
@@ -210,28 +210,28 @@
   return Polled(fd_, POLLIN) != 0 ? Unread::kEnd : Unread::kNothing;
 }
 
-Micros Stream::SinceLastCame() const {
+Micros Stream::SinceLastReceived() const {
   tcp_info info{};
   socklen_t size = sizeof info;
-  if (!up() || getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
+  if (!connected() || getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
   if (size < offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv) return 0;
   const Micros ago = static_cast<Micros>(info.tcpi_last_data_recv) * 1'000;
   return ago <= kMostUnread ? ago : 0;
 }
 
-bool Stream::PeerGone() const {
+bool Stream::PeerClosed() const {
   const Unread unread = Peek();
   if (unread != Unread::kBytes) return unread == Unread::kEnd;
   return (Polled(fd_, POLLRDHUP) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Stream::CatchUp() {
+void Stream::ReadAllPending() {
   // As often as calls fail for a moment, and no more: the rest is read in its turn.
   constexpr int kMostReads = 64;
-  for (int n = 0; n < kMostReads && up() && !paused_ && Peek() != Unread::kNothing; ++n) ReadSome();
+  for (int n = 0; n < kMostReads && connected() && !paused_ && Peek() != Unread::kNothing; ++n) ReadSome();
 }
 
-bool Stream::ReadWaiting() {
+bool Stream::ReadPending() {
   if (Peek() != Unread::kBytes) return false;
   ReadSome();
   return true;  // also where the read failed for a moment: the bytes are there
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -20,10 +20,10 @@
 // "10.0.0.4:8080" to an address; nothing where it cannot be read. There is no DNS.
 std::optional<Address> ParseAddress(std::string_view text);
 std::string ToText(const Address& address);
-bool Same(const Address& a, const Address& b);
+bool SameAddress(const Address& a, const Address& b);
 
 // What all connections share.
-struct Shared {
+struct StreamContext {
   Loop& loop;
   BufferPool& pool;
   bool log_connections = true;
@@ -34,18 +34,18 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void OnUp() {}                            // the connection that was dialled is there
+    virtual void OnConnected() {}                     // the connection that was dialled is there
     virtual void OnData(std::string_view bytes) = 0;  // good for the call only
     virtual void OnSent() {}                          // all that was written has left
     virtual void OnEnd(Reason reason) = 0;            // last call; not made for an owner's own Close
   };
 
   // Takes over an accepted socket.
-  Stream(Shared& shared, int fd, std::string label, Owner& owner);
+  Stream(StreamContext& shared, int fd, std::string label, Owner& owner);
   // Dials. A dial that fails at once is told from the loop, like any other. Where this machine lacks
   // something for it for a moment (a descriptor, a port, memory, a route), it is tried again until
   // `dial_timeout` is over.
-  Stream(Shared& shared, const Address& to, Micros dial_timeout, std::string label, Owner& owner);
+  Stream(StreamContext& shared, const Address& to, Micros dial_timeout, std::string label, Owner& owner);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
@@ -61,21 +61,21 @@
   enum class Unread : std::uint8_t { kNothing, kBytes, kEnd };
   Unread Peek() const;
   // The peer has ended it, or its sending side, whether or not bytes before that are still unread.
-  bool PeerGone() const;
+  bool PeerClosed() const;
   // Reads what has come and waits for the loop's turn. False: no bytes have.
-  bool ReadWaiting();
+  bool ReadPending();
   // Reads all of it, the peer's end included.
-  void CatchUp();
+  void ReadAllPending();
 
   // How long ago the last bytes reached this machine, whether or not they were read at once; 0 where the
   // system does not tell.
-  Micros SinceLastCame() const;
+  Micros SinceLastReceived() const;
 
   // The dial was refused: nobody listens at its address.
-  bool refused() const { return refused_; }
+  bool connection_refused() const { return refused_; }
 
   bool open() const { return fd_ >= 0 || dialling_; }
-  bool up() const { return open() && !dialling_; }
+  bool connected() const { return open() && !dialling_; }
   bool all_sent() const { return out_.empty(); }
 
  private:
@@ -90,7 +90,7 @@
   void End(Reason reason);
   void Release(Reason reason);
 
-  Shared& shared_;
+  StreamContext& shared_;
   Owner& owner_;
   std::string label_;
   int fd_ = -1;
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -268,7 +268,7 @@
   Folder folder;
   net::BufferPool pool(256);
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
+  net::StreamContext shared{loop, pool, false};
   ReplicaManager::Settings settings;
   settings.fleet = "f";
   settings.name = "s1";
--- a/tests/cluster/node_test.cpp
+++ b/tests/cluster/node_test.cpp
@@ -34,7 +34,7 @@
 TEST(Node, PortZeroPicksAPortFreeForBothSockets) {
   net::BufferPool pool(64);
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
+  net::StreamContext shared{loop, pool, false};
   Options options;
   options.enabled = true;
   options.fleet = "f";
@@ -50,7 +50,7 @@
 TEST(Node, ErrorForAPortInUseNamesTheKey) {
   net::BufferPool pool(64);
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
+  net::StreamContext shared{loop, pool, false};
   Options options;
   options.enabled = true;
   options.fleet = "f";
--- a/tests/durable/gate_test.cpp
+++ b/tests/durable/gate_test.cpp
@@ -189,28 +189,28 @@
   Driver driver(
       loop, site, 1, 0, {}, [](core::Effect&) {}, std::move(opened), "t");
   driver.Post(core::StoreLoaded{});
-  EXPECT_FALSE(driver.StoreFull());
+  EXPECT_FALSE(driver.StoreUnavailable());
   durable::Held held;
   held.group = "s1/t/1";
   held.store = store();
   for (int n = 0; n < 1'000; ++n) held.jobs.emplace_back("j" + std::to_string(n), durable::Job{});
-  driver.Hold(std::move(held));
-  EXPECT_TRUE(driver.StoreFull());
+  driver.AdoptJobs(std::move(held));
+  EXPECT_TRUE(driver.StoreUnavailable());
   core::HopCallback news;
   news.id = "j999";
   std::string told;
-  EXPECT_TRUE(driver.TakeWord(news, [&](bool stored) { told += stored ? 's' : 'n'; }));
+  EXPECT_TRUE(driver.HandleReport(news, [&](bool stored) { told += stored ? 's' : 'n'; }));
   EXPECT_EQ(told, "n");
-  for (int n = 0; n < 1'000 && driver.coming(); ++n) loop.RunTurn();
-  EXPECT_FALSE(driver.StoreFull());
+  for (int n = 0; n < 1'000 && driver.adopting(); ++n) loop.WaitAndRunOnce();
+  EXPECT_FALSE(driver.StoreUnavailable());
   EXPECT_EQ(driver.reducer().keeper()->book().jobs().size(), 1'000u);
   news.id = "nobody's";
-  EXPECT_FALSE(driver.TakeWord(news, nullptr));
-  driver.Lose("s1/t/1", false);
+  EXPECT_FALSE(driver.HandleReport(news, nullptr));
+  driver.LoseGroup("s1/t/1", false);
   EXPECT_TRUE(driver.reducer().keeper()->book().jobs().empty());
-  EXPECT_FALSE(driver.StoreFull()) << "its own goes on";
-  driver.Lose("s0/t/1", true);
-  EXPECT_TRUE(driver.StoreFull()) << "until it has its own back";
+  EXPECT_FALSE(driver.StoreUnavailable()) << "its own goes on";
+  driver.LoseGroup("s0/t/1", true);
+  EXPECT_TRUE(driver.StoreUnavailable()) << "until it has its own back";
 }
 
 }  // namespace
--- a/tests/faults/fleet.h
+++ b/tests/faults/fleet.h
@@ -77,7 +77,7 @@
   std::ofstream history_;
   net::BufferPool pool_{16384};
   net::Loop loop_;
-  net::Shared shared_{loop_, pool_, false};
+  net::StreamContext shared_{loop_, pool_, false};
   Later later_{loop_};
   Micros began_;
   std::vector<std::unique_ptr<Member>> members_;
--- a/tests/faults/jobs.cpp
+++ b/tests/faults/jobs.cpp
@@ -14,7 +14,7 @@
 
 // A connection that is dialled again for as long as it is wanted; one command at a time.
 struct Jobs::Link : net::Stream::Owner {
-  Link(net::Shared& s, const net::Address& to, std::string hello)
+  Link(net::StreamContext& s, const net::Address& to, std::string hello)
       : shared(s),
         at(to),
         hello_line(std::move(hello)),
@@ -38,7 +38,7 @@
   }
   void OnEnd(net::Reason) override {
     if (!stream) return;
-    shared.loop.Bury(std::move(stream));
+    shared.loop.DestroyLater(std::move(stream));
     stream.reset();
     patience.Stop();
     greeted = false;
@@ -85,7 +85,7 @@
   }
   bool idle() const { return greeted && !reply && stream && stream->open(); }
 
-  net::Shared& shared;
+  net::StreamContext& shared;
   net::Address at;
   std::string hello_line, bytes;
   net::Timer again, patience;
@@ -200,7 +200,7 @@
   std::vector<std::unique_ptr<Door>> doors;
 };
 
-Jobs::Jobs(net::Shared& shared, const std::vector<net::Address>& at, double per_s) : shared_(shared) {
+Jobs::Jobs(net::StreamContext& shared, const std::vector<net::Address>& at, double per_s) : shared_(shared) {
   for (std::size_t i = 0; i < at.size(); ++i) {
     clients_.push_back(std::make_unique<Client>(*this, static_cast<int>(i), at[i], per_s));
     workers_.push_back(std::make_unique<Worker>(*this, static_cast<int>(i), at));
--- a/tests/faults/jobs.h
+++ b/tests/faults/jobs.h
@@ -28,7 +28,7 @@
   static constexpr std::size_t kMostOpen = 200;   // of a client: jobs that are not acknowledged
 
   // `at`: of each scheduler's Faktory front.
-  Jobs(net::Shared& shared, const std::vector<net::Address>& at, double per_s);
+  Jobs(net::StreamContext& shared, const std::vector<net::Address>& at, double per_s);
   ~Jobs();
   void Stop();        // nothing new is pushed; what is not acknowledged is still asked for
   bool Over() const;  // all that was acknowledged has come, but what may have run and must not come again
@@ -59,7 +59,7 @@
 
   std::int64_t MsSoFar() const { return (shared_.loop.Now() - began_) / 1000; }
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   const Micros began_ = shared_.loop.Now();
   std::vector<std::unique_ptr<Client>> clients_;
   std::vector<std::unique_ptr<Worker>> workers_;
--- a/tests/faults/way.cpp
+++ b/tests/faults/way.cpp
@@ -74,7 +74,7 @@
   std::weak_ptr<Pair> me;
 };
 
-Way::Way(net::Shared& shared, Later& later, const net::Address& at, const net::Address& to,
+Way::Way(net::StreamContext& shared, Later& later, const net::Address& at, const net::Address& to,
          const Weather& weather, const Weather& back, std::uint64_t seed)
     : shared_(shared),
       later_(later),
@@ -139,7 +139,7 @@
     if (side->stream != nullptr) side->stream->Close(net::Reason::kShutdown);
   }
   const auto it = std::find_if(pairs_.begin(), pairs_.end(), [&](const auto& p) { return p.get() == &pair; });
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   pairs_.erase(it);
 }
 
--- a/tests/faults/way.h
+++ b/tests/faults/way.h
@@ -56,7 +56,7 @@
 class Way {
  public:
   // `weather`, and `back` of the other direction for what comes back on connections: looked at then.
-  Way(net::Shared& shared, Later& later, const net::Address& at, const net::Address& to,
+  Way(net::StreamContext& shared, Later& later, const net::Address& at, const net::Address& to,
       const Weather& weather, const Weather& back, std::uint64_t seed);
   ~Way();
   Way(const Way&) = delete;
@@ -74,7 +74,7 @@
   double Unit() { return random_() * 0x1p-32; }
   Micros Delay(const Weather& w);
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Later& later_;
   net::Address to_;
   const Weather &weather_, &back_;
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -76,7 +76,7 @@
 
   net::BufferPool pool{256};
   net::Loop loop;
-  net::Shared shared{loop, pool};
+  net::StreamContext shared{loop, pool};
   config::Config config;
   config::Options options;
   std::unique_ptr<http::Front> front;
@@ -230,7 +230,7 @@
 TEST(InStep, WhatIsWithdrawnWhileItsDialComesUpDoesNotLeave) {
   net::BufferPool pool{64};
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
+  net::StreamContext shared{loop, pool, false};
   Peer worker;
   http::Egress egress(shared, {1'000'000, 5'000'000, 8});
   std::vector<http::Reply::Kind> ends;
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -16,7 +16,7 @@
 
 // A served connection: reads requests one after another.
 struct Served : net::Stream::Owner {
-  Served(net::Shared& shared, int fd)
+  Served(net::StreamContext& shared, int fd)
       : reader(HTTP_REQUEST, http::kMostBody), stream(shared, fd, "rig", *this) {}
   void OnData(std::string_view bytes) override {
     while (!bytes.empty() && stream.open()) {
@@ -44,10 +44,10 @@
 }
 
 template <typename List, typename T>
-void Drop(net::Shared& shared, List& list, T* one) {
+void Drop(net::StreamContext& shared, List& list, T* one) {
   const auto it = std::find_if(list.begin(), list.end(), [one](const auto& p) { return p.get() == one; });
   if (it == list.end()) return;
-  shared.loop.Bury(std::move(*it));
+  shared.loop.DestroyLater(std::move(*it));
   list.erase(it);
 }
 
@@ -192,7 +192,7 @@
   std::uint64_t since = 0;
 };
 
-Discovery::Discovery(net::Shared& shared, std::uint64_t seed, int callers)
+Discovery::Discovery(net::StreamContext& shared, std::uint64_t seed, int callers)
     : shared_(shared), random_(seed), at_(AnyPort()), doors_(static_cast<std::size_t>(callers)) {
   constexpr int kFirstHost = 100;
   for (std::size_t n = 0; n < doors_.size(); ++n)
@@ -330,7 +330,7 @@
   void Call() {
     if (bodies.empty()) return;
     if (!stream || !stream->open()) {
-      if (stream) worker.shared_.loop.Bury(std::move(stream));
+      if (stream) worker.shared_.loop.DestroyLater(std::move(stream));
       reader = std::make_unique<http::Reader>(HTTP_RESPONSE, http::kMostBody);
       stream = std::make_shared<net::Stream>(worker.shared_, *net::ParseAddress(scheduler), 1'000'000, "news",
                                              *this);
@@ -355,7 +355,7 @@
   std::deque<std::string> bodies;
 };
 
-Worker::Worker(net::Shared& shared, Auditor& audit, const std::string& name, const WorkerPlan& plan,
+Worker::Worker(net::StreamContext& shared, Auditor& audit, const std::string& name, const WorkerPlan& plan,
                std::uint64_t seed)
     : shared_(shared), audit_(audit), name_(name), plan_(plan), random_(seed), at_(AnyPort()) {
   Return();
@@ -389,12 +389,12 @@
   listener_.reset();
   for (const auto& link : links_) {
     link->stream.Close(net::Reason::kShutdown);
-    shared_.loop.Bury(link);
+    shared_.loop.DestroyLater(link);
   }
   links_.clear();
   const auto lose = [this](const std::shared_ptr<Task>& task) {
     task->timer->Stop();
-    shared_.loop.Bury(task);
+    shared_.loop.DestroyLater(task);
     audit_.HopOver(task->id, false);
     News(task->id, "lost", "");
   };
@@ -421,7 +421,7 @@
   const std::string* id = message.Find("Req-Id");
   if (id == nullptr) return link.Answer(404, "");
   // What was given up by the end of its connection before it was looked at here was never begun.
-  if (audit_.late() > 0 && link.stream.PeerGone()) return;
+  if (audit_.late() > 0 && link.stream.PeerClosed()) return;
   ++hops_;
   const Micros now = shared_.loop.Now();
   audit_.HopCame(*id, plan_.zone, name_ + (hangs_ ? ", which hangs" : ""));
@@ -520,7 +520,7 @@
 
 void Worker::Done(const std::shared_ptr<Task>& task) {
   running_.remove(task);
-  shared_.loop.Bury(task);
+  shared_.loop.DestroyLater(task);
   audit_.HopOver(task->id, false);
   if (!queue_.empty()) {
     const auto next = queue_.front();
@@ -576,7 +576,7 @@
     if (m.status == 200 && !own) crowd.audit_.Break("served with another's result");
     Over(m.status, wait, !m.keep_alive);
   }
-  void OnUp() override { came_up = true; }
+  void OnConnected() override { came_up = true; }
   // The end of a resting connection may cross a request: that one is sent once more. It did where its end was
   // there before the request left, however much later a busy rig reads it. A connection that never came up
   // took nothing.
@@ -645,7 +645,7 @@
   net::Stream stream;
 };
 
-Crowd::Crowd(net::Shared& shared, Auditor& audit, const CrowdPlan& plan, const std::string& scheduler,
+Crowd::Crowd(net::StreamContext& shared, Auditor& audit, const CrowdPlan& plan, const std::string& scheduler,
              std::uint64_t seed)
     : shared_(shared),
       audit_(audit),
@@ -709,7 +709,7 @@
   audit_.Asked(client->id, plan_.keyed ? Auditor::Repeat::kSameZone : Auditor::Repeat::kFree);
   if (plan_.resends) audit_.GivesUp(client->id, client->sent + plan_.deadline);
   link->client = client;
-  link->over_at_send = link->came_up && link->stream.PeerGone();
+  link->over_at_send = link->came_up && link->stream.PeerClosed();
   link->deadline.Start(plan_.deadline + plan_.slack);
   if (plan_.leaves > 0 && Unit() < plan_.leaves)
     link->leaves.Start(static_cast<Micros>(Unit() * static_cast<double>(plan_.deadline)));
--- a/tests/rig/rig.h
+++ b/tests/rig/rig.h
@@ -94,7 +94,7 @@
   // where only some calls fail, it can.
   enum class Failure : std::uint8_t { kNone, kDown, kDeclines, kResets, kTorn, kSomeFail };
   // `callers`: so many processes call each at an address of its own, so that it is known who is told what.
-  Discovery(net::Shared& shared, std::uint64_t seed = 1, int callers = 0);
+  Discovery(net::StreamContext& shared, std::uint64_t seed = 1, int callers = 0);
   ~Discovery();
   void Tell(const Entry& entry);  // to all that watch, at once
   void Fail(Failure failure);     // from now on
@@ -115,7 +115,7 @@
   void Troubled(int caller);
   void Well(int caller);
   std::string Answer(std::uint64_t from) const;
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   pcg32 random_;
   std::map<std::string, std::pair<Entry, std::uint64_t>> entries_;  // with the generation that changed it
   std::map<std::string, std::deque<std::pair<Micros, std::string>>> stories_;
@@ -149,7 +149,7 @@
 
 class Worker {
  public:
-  Worker(net::Shared& shared, Auditor& audit, const std::string& name, const WorkerPlan& plan,
+  Worker(net::StreamContext& shared, Auditor& audit, const std::string& name, const WorkerPlan& plan,
          std::uint64_t seed);
   ~Worker();
   void CallBackTo(const std::string& scheduler) { CallBackTo(0, scheduler); }
@@ -188,7 +188,7 @@
   double MostCalls() const;
   bool NoteFall(const std::string& id, Micros now);
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Auditor& audit_;
   std::string name_;
   WorkerPlan plan_;
@@ -240,7 +240,7 @@
 
 class Crowd {
  public:
-  Crowd(net::Shared& shared, Auditor& audit, const CrowdPlan& plan, const std::string& scheduler,
+  Crowd(net::StreamContext& shared, Auditor& audit, const CrowdPlan& plan, const std::string& scheduler,
         std::uint64_t seed);
   ~Crowd();
   void Stop();  // no more first tries
@@ -261,7 +261,7 @@
   Second& Now();
   double Unit();
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Auditor& audit_;
   CrowdPlan plan_;
   net::Address to_{};
--- a/tests/rig/storm_rig.cpp
+++ b/tests/rig/storm_rig.cpp
@@ -35,7 +35,7 @@
 
   net::BufferPool pool(8192);
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
+  net::StreamContext shared{loop, pool, false};
   rig::Auditor audit;
   rig::Discovery discovery(shared);
   rig::WorkerPlan plan;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -80,7 +80,7 @@
 class Scheduler {
  public:
   // `config` gives the configuration for each start.
-  Scheduler(net::Shared& shared, rig::Auditor& audit, std::function<std::string()> config,
+  Scheduler(net::StreamContext& shared, rig::Auditor& audit, std::function<std::string()> config,
             const std::string& at, char letter, const rig::CrowdPlan& crowd, const Deployment& deployment,
             std::uint64_t seed)
       : shared_(shared),
@@ -224,7 +224,7 @@
 
   static constexpr int kCrowd = 150;
   static constexpr int kForEver = 3'600'000;  // milliseconds
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   const Micros began_ = shared_.loop.Now();
   rig::Auditor& audit_;
   std::function<std::string()> config_;
@@ -386,7 +386,7 @@
     ++returns_;
     auto& notices = waiting_to_be_listed_[&w];
     notices = std::make_unique<net::Timer>(loop_, [this, &w] {
-      loop_.Bury(std::shared_ptr<net::Timer>(std::move(waiting_to_be_listed_.at(&w))));
+      loop_.DestroyLater(std::shared_ptr<net::Timer>(std::move(waiting_to_be_listed_.at(&w))));
       waiting_to_be_listed_.erase(&w);
       if (w.up()) w.Listed();
       discovery_.Tell(w.entry());
@@ -423,7 +423,7 @@
   Draws draws_;
   net::BufferPool pool_{1 << 16};
   net::Loop loop_;
-  net::Shared shared_{loop_, pool_, false};
+  net::StreamContext shared_{loop_, pool_, false};
   Deployment deployment_;
   rig::Lateness lateness_;
   rig::Auditor audit_;
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -43,7 +43,7 @@
 };
 
 struct Pair {
-  explicit Pair(Shared& shared) {
+  explicit Pair(StreamContext& shared) {
     std::array<int, 2> fds{};
     EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds.data()), 0);
     peer = fds[1];
@@ -67,7 +67,7 @@
   constexpr std::size_t kBuffers = 4;
   BufferPool pool(kBuffers);
   Loop loop;
-  Shared shared{loop, pool, false};
+  StreamContext shared{loop, pool, false};
   Pair slow(shared), reads(shared);
   while (pool.in_use() < kBuffers) slow.stream->Write(std::string(Buffer::kSize / 2, 's'));
   ASSERT_TRUE(slow.stream->open());
@@ -83,7 +83,7 @@
 TEST(Stream, ADescriptorThatCouldNotBeWatchedIsWatchedAgain) {
   BufferPool pool(16);
   Loop loop;
-  Shared shared{loop, pool, false};
+  StreamContext shared{loop, pool, false};
   watches_to_fail = 2;
   Pair pair(shared);
   int accepted = 0;
@@ -117,7 +117,7 @@
 TEST(Stream, AnAnswerThatWaitsForRoomLeavesThoughItCouldNotBeWatchedForAMoment) {
   BufferPool pool(1024);
   Loop loop;
-  Shared shared{loop, pool, false};
+  StreamContext shared{loop, pool, false};
   Pair pair(shared);
   loop.RunOnce();
   const std::string answer(400'000, 'a');
@@ -147,7 +147,7 @@
   Timer comes(loop, [&] {
     EXPECT_EQ(watches_to_fail, 0);
     raise(SIGUSR2);
-    std::thread([&wakeup] { wakeup.Ask(); }).join();
+    std::thread([&wakeup] { wakeup.Notify(); }).join();
   });
   comes.Start(50'000);
   Timer end(loop, [&loop] { loop.Stop(); });
@@ -160,7 +160,7 @@
 TEST(Stream, WhatTheSystemDoesNotTakeAtOnceComesInOrder) {
   BufferPool pool(1024);
   Loop loop;
-  Shared shared{loop, pool, false};
+  StreamContext shared{loop, pool, false};
   Pair pair(shared);
   std::string all, got;
   for (int n = 0; n < 400; ++n) {
