--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -8,7 +8,7 @@
 namespace heronway::core {
 
 // What is decided is in the records before what rests on it is among the effects.
-void Reducer::Flush() {
+void Reducer::EmitRecords() {
   if (records_.empty()) return;
   std::vector<Settled> settled;
   std::vector<Persist> parts;  // a home each; nearly always one
@@ -24,7 +24,7 @@
   for (auto& s : settled) effects_->push_back(std::move(s));
 }
 
-void Reducer::RoundOver(const Job& job, AnswerKind kind, Micros wait) {
+void Reducer::FinishRound(const Job& job, AnswerKind kind, Micros wait) {
   using End = durable::Keeper::RoundEnd;
   const auto id = job.id;
   keeper_->RoundOver(now_, id,
@@ -41,23 +41,23 @@
   } else if (kind == AnswerKind::kFailed) {
     keeper_->GiveUp(now_, id, records_);
   }
-  Flush();
+  EmitRecords();
 }
 
-void Reducer::OfferRounds() {
+void Reducer::StartDueRounds() {
   while (drain_began_ < 0) {
     auto id = keeper_->Next(now_, records_);
     if (!id) break;
-    Flush();
+    EmitRecords();
     const int home = keeper_->HomeOf(*id);
     effects_->push_back(StartRound{std::move(*id), home});
   }
-  Flush();
+  EmitRecords();
   const Micros next = drain_began_ < 0 ? keeper_->next(now_) : -1;
   if (next >= 0 && (keeper_wake_ == 0 || next < keeper_wake_)) due_.push({keeper_wake_ = next, 0, 4, 0});
 }
 
-void Reducer::LookAtDurable() {
+void Reducer::CheckLeases() {
   keeper_wake_ = 0;
   std::vector<std::string> lapsed;
   keeper_->Due(now_, records_, lapsed);
@@ -68,14 +68,14 @@
     const Ticket ticket = it->second;
     for (std::size_t i = 0; i < job->second.hops.size(); ++i) {
       if (job->second.hops[i].epoch == keeper_->book().Find(id)->epoch)
-        CallOff(ticket, static_cast<int>(i), Result::kTimeout);
+        Cancel(ticket, static_cast<int>(i), Result::kTimeout);
     }
   }
 }
 
 // Its client is told that the outcome is not known, and the job becomes a round as if that had gone. What is
 // told promises nothing, so it waits for no record.
-void Reducer::AnswerAndGoOn(Ticket ticket) {
+void Reducer::AnswerAndContinueJob(Ticket ticket) {
   Job& job = jobs_.at(ticket);
   job.round = true;
   ++rounds_;
@@ -86,7 +86,7 @@
 }
 
 // At a planned stop: what no worker has yet waits in the store.
-void Reducer::LeaveIdleRounds() {
+void Reducer::EndIdleRounds() {
   std::vector<Ticket> idle;
   for (const auto& [ticket, job] : jobs_) {
     const bool out = std::any_of(job.hops.begin(), job.hops.end(),
@@ -98,9 +98,9 @@
     job.answered = true;
     --held_;
     --rounds_;
-    Release(job.id);
+    RetainId(job.id);
     keeper_->RoundOver(now_, job.id, durable::Keeper::RoundEnd::kLeft, 0, records_);
-    Tell(pebblenotch::ClientGone{ticket});
+    TellModule(pebblenotch::ClientGone{ticket});
     ForgetIfOver(ticket);
   }
 }
@@ -130,14 +130,14 @@
 
 // A hop's word while its round is on. A failure within a client's wait is one hop's end: the module may try
 // another.
-void Reducer::TellKeeper(const Job& job, int hop, const HopCallback& e) {
+void Reducer::ReportToKeeper(const Job& job, int hop, const HopCallback& e) {
   if (e.state == CallbackState::kFailed && !job.round) return;
   keeper_->Word(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.state), e.result,
                 records_);
 }
 
 // Word of a job that no round is on for: its holder had it from before a crash, or lost it meanwhile.
-void Reducer::OrphanNews(const HopCallback& e) {
+void Reducer::OnUnmatchedCallback(const HopCallback& e) {
   const auto epoch = keeper_->EpochOf(e.id, e.from);
   if (epoch == 0 || keeper_->InHand(e.id) ||
       !keeper_->Word(now_, e.id, epoch, SaidBy(e.state), e.result, records_))
@@ -182,7 +182,7 @@
     if (job.answered) continue;
     rounds_ -= std::exchange(job.round, false) ? 1 : 0;
     FinalAnswer(ticket, AnswerKind::kFailed, 0, {});
-    Tell(pebblenotch::ClientGone{ticket});
+    TellModule(pebblenotch::ClientGone{ticket});
     ForgetIfOver(ticket);
   }
   std::vector<std::string> ids;
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -20,7 +20,7 @@
   now_ = std::max(now_, now);
   effects_ = &effects;
   std::visit([this](auto& e) { On(e); }, event);
-  if (keeper_) OfferRounds();
+  if (keeper_) StartDueRounds();
   // Durable jobs that are at work need no answer before the end, only some time to have one.
   const bool rounds_over = rounds_ == 0 || now_ >= drain_began_ + stop_times_.answers_due;
   if (drain_began_ >= 0 && !drained_ && pending() == 0 && rounds_over &&
@@ -40,48 +40,49 @@
 }
 
 // The module is told one thing at a time: what carrying out an action tells it in turn waits its turn.
-void Reducer::Tell(const pebblenotch::Event& event) {
+void Reducer::TellModule(const pebblenotch::Event& event) {
   std::vector<pebblenotch::Action> actions;
-  GiveFigures();
+  UpdateAllowance();
   module_.handle(now_, event, actions);
   actions_.insert(actions_.end(), actions.begin(), actions.end());
-  if (std::exchange(carrying_, true)) return;
+  if (std::exchange(executing_, true)) return;
   while (!actions_.empty()) {
     const pebblenotch::Action action = std::move(actions_.front());
     actions_.pop_front();
-    Carry(action);
+    Execute(action);
   }
-  carrying_ = false;
+  executing_ = false;
 }
 
-void Reducer::Carry(const pebblenotch::Action& action) {
+void Reducer::Execute(const pebblenotch::Action& action) {
   if (const auto* push = std::get_if<pebblenotch::Push>(&action)) {
     const auto it = jobs_.find(push->id);
     if (it == jobs_.end()) return;
     Job& job = it->second;
     const int hop = static_cast<int>(job.hops.size());
     job.hops.push_back({push->worker, now_});
-    ++hops_out_;
+    ++hops_in_flight_;
     if (limits_) limits_->HopSent(now_, job.job_class, hop > 0);
     Micros limit = job.deadline - now_;
     if (push->time_limit > 0) limit = std::min(limit, push->time_limit);
     if (job.hop_timeout > 0) limit = std::min(limit, job.hop_timeout);
     // Guards the attempt limit, a push after the end, and one for a client that has gone: such a hop is never
     // sent.
-    if (job.answered || job.away || hop >= job.max_hops || limit <= 0 || !MayBegin(job, limit))
+    if (job.answered || job.away || hop >= job.max_hops || limit <= 0 || !MayStartHop(job, limit))
       return EndHop(push->id, hop, Result::kMoot, std::nullopt, job.answered);
     if (job.durable) {
-      const auto to = holders_.find(push->worker);
+      const auto to = target_locations_.find(push->worker);
       const auto epoch =
           drain_began_ < 0 || !job.round
               ? keeper_->Lease(now_, job.id,
-                               to != holders_.end() ? to->second : durable::Holder{push->worker}, records_)
+                               to != target_locations_.end() ? to->second : durable::Holder{push->worker},
+                               records_)
               : std::nullopt;
       // Guards what may have run in an earlier round, or an earlier life, against a worker that knows nothing
       // of it.
       if (!epoch) return EndHop(push->id, hop, Result::kMoot, std::nullopt, false);
       job.hops.back().epoch = *epoch;
-      Flush();
+      EmitRecords();
     }
     due_.push({now_ + limit, push->id, hop, 0});
     if (take_limit_ > 0 && take_limit_ < limit) due_.push({now_ + take_limit_, push->id, hop, 0, true});
@@ -99,7 +100,7 @@
   } else if (const auto* fail = std::get_if<pebblenotch::Fail>(&action)) {
     FinalAnswer(fail->id, AnswerKind::kFailed, 0, {});
   } else if (const auto* cancel = std::get_if<pebblenotch::Cancel>(&action)) {
-    CallOff(cancel->id, cancel->attempt, Result::kCancelled);
+    Cancel(cancel->id, cancel->attempt, Result::kCancelled);
   } else if (const auto* probe = std::get_if<pebblenotch::Probe>(&action)) {
     ++counters_.probes;
     effects_->push_back(StartProbe{probe->worker});
@@ -112,7 +113,7 @@
 
 // The one guard for attempts, whatever asked for them: the last of the job's hops is the one that would
 // begin. What it finds is a fault of the decisions; the attempt is not sent.
-bool Reducer::MayBegin(const Job& job, Micros limit) {
+bool Reducer::MayStartHop(const Job& job, Micros limit) {
   Invariants& invariants = counters_.invariants;
   const auto at = static_cast<std::size_t>(job.job_class);
   const bool unsafe = at < settings_.classes.size() &&
@@ -146,7 +147,7 @@
   Job& job = jobs_[ticket];
   job.id = std::move(e.id);
   job.deadline = e.request.deadline;
-  job.came_at = now_;
+  job.arrived_at = now_;
   job.hop_timeout = e.hop_timeout;
   job.max_hops = e.max_hops > 0 ? std::min(e.max_hops, settings_.max_attempts) : settings_.max_attempts;
   job.job_class = e.request.job_class;
@@ -165,13 +166,13 @@
   // due would find the program killed unanswered; it is refused at once, and its client comes again,
   // to the process that replaces this one, or to another.
   if (e.no_capacity || ShedsAllArrivals(now_)) {
-    GiveFigures();
+    UpdateAllowance();
     const Micros wait =
         limits_ ? limits_->Refused(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.came)
                 : kNoCapacityRetryAfter;
     return FinalAnswer(ticket, AnswerKind::kShed, wait, {});
   }
-  Tell(e.request);
+  TellModule(e.request);
 }
 
 // Guards against call-backs that come twice, before the carrier's own answer, or late from a hop that was
@@ -181,7 +182,7 @@
   const auto it = by_id_.find(e.id);
   const auto job = it == by_id_.end() ? jobs_.end() : jobs_.find(it->second);
   const auto late = [this] { ++counters_.late_callbacks; };
-  if (job == jobs_.end() && keeper_) return OrphanNews(e);
+  if (job == jobs_.end() && keeper_) return OnUnmatchedCallback(e);
   if (job == jobs_.end()) return late();
   const Ticket ticket = it->second;
   auto& hops = job->second.hops;
@@ -189,17 +190,18 @@
   const bool last = e.state != CallbackState::kStarted && e.state != CallbackState::kRunning;
   const bool crosses = last && !job->second.durable;
   const auto hop = std::find_if(hops.begin(), hops.end(), [&e, crosses](const Hop& h) {
-    return h.target == e.from && (h.state == HopState::kOut || (crosses && h.state == HopState::kCallingOff));
+    return h.target == e.from &&
+           (h.state == HopState::kInFlight || (crosses && h.state == HopState::kCancelling));
   });
-  if (hop == hops.end()) return job->second.durable ? OrphanNews(e) : late();
+  if (hop == hops.end()) return job->second.durable ? OnUnmatchedCallback(e) : late();
   const int n = static_cast<int>(hop - hops.begin());
   hop->taken = true;
   if (last) effects_->push_back(HopCompleted{ticket, n});
-  if (job->second.durable) TellKeeper(job->second, n, e);
+  if (job->second.durable) ReportToKeeper(job->second, n, e);
   switch (e.state) {
     case CallbackState::kStarted:
     case CallbackState::kRunning:
-      return Tell(pebblenotch::AttemptProgress{ticket, n, e.state == CallbackState::kStarted, e.share});
+      return TellModule(pebblenotch::AttemptProgress{ticket, n, e.state == CallbackState::kStarted, e.share});
     case CallbackState::kDone:
       FinalAnswer(ticket, AnswerKind::kServed, 0, std::move(e.result));
       return EndHop(ticket, n, Result::kOk, e.report, true);
@@ -233,15 +235,17 @@
 
 void Reducer::On(HopCancelled& e) {
   const Hop* hop = FindHop(e.request, e.hop);
-  if (hop == nullptr || hop->state != HopState::kCallingOff) return;
+  if (hop == nullptr || hop->state != HopState::kCancelling) return;
   // Where targets are dialled, one that could not be reached in the hop's time is told apart from a hop that
   // was taken back.
-  const bool unreached = take_limit_ > 0 && hop->called_off_as == Result::kTimeout;
+  const bool unreached = take_limit_ > 0 && hop->cancel_result == Result::kTimeout;
   const Result never = unreached ? Result::kConnectFailed : Result::kMoot;
-  EndHop(e.request, e.hop, e.never_ran ? never : hop->called_off_as, std::nullopt, false);
+  EndHop(e.request, e.hop, e.never_ran ? never : hop->cancel_result, std::nullopt, false);
 }
 
-void Reducer::On(ProbeEnded& e) { Tell(pebblenotch::ProbeResult{e.target, e.result, e.latency, e.report}); }
+void Reducer::On(ProbeEnded& e) {
+  TellModule(pebblenotch::ProbeResult{e.target, e.result, e.latency, e.report});
+}
 
 void Reducer::On(IngressDisconnected& e) {
   const auto it = jobs_.find(e.request);
@@ -257,8 +261,8 @@
   --held_;
   ++counters_.disconnected;
   if (it->second.tenant != TenantTable::kNone) ++tenants_.At(it->second.tenant).disconnected;
-  Release(it->second.id);
-  Tell(pebblenotch::ClientGone{e.request});
+  RetainId(it->second.id);
+  TellModule(pebblenotch::ClientGone{e.request});
   ForgetIfOver(e.request);
 }
 
@@ -275,9 +279,9 @@
   if (limits_ && e.kind != ListKind::kFailed)
     limits_->RoutesChanged(now_, e.entries, e.kind != ListKind::kChanges);
   if (keeper_) {
-    for (const auto& entry : e.entries) holders_[entry.id] = {entry.id, entry.zone, entry.cell};
+    for (const auto& entry : e.entries) target_locations_[entry.id] = {entry.id, entry.zone, entry.cell};
   }
-  Tell(pebblenotch::Membership{e.kind, e.entries});
+  TellModule(pebblenotch::Membership{e.kind, e.entries});
 }
 
 void Reducer::On(Wake&) {
@@ -285,10 +289,10 @@
     const Due due = due_.top();
     due_.pop();
     if (due.request == 0) {
-      if (due.hop == 0) Tell(pebblenotch::TimerDue{due.label});
-      if (due.hop == 2) AnswerAllInDrain();
-      if (due.hop == 3) LookAtStorm();
-      if (due.hop == 4) LookAtDurable();
+      if (due.hop == 0) TellModule(pebblenotch::TimerDue{due.label});
+      if (due.hop == 2) AnswerAllForShutdown();
+      if (due.hop == 3) CheckStorm();
+      if (due.hop == 4) CheckLeases();
       continue;
     }
     const Hop* hop = FindHop(due.request, due.hop);
@@ -297,17 +301,17 @@
       // Guards against a connection that has fallen silent: its target may be well, and the request would
       // wait on it for as long as its client does. What was heard of by call-back has been taken all the
       // same.
-      if (hop->state == HopState::kOut && !hop->taken) CallOff(due.request, due.hop, Result::kTimeout);
+      if (hop->state == HopState::kInFlight && !hop->taken) Cancel(due.request, due.hop, Result::kTimeout);
       continue;
     }
     // At the request's end nothing is sent any more, so the outcome waits for the front's word only briefly:
     // it may know that the hop never ran, but telling a far target can take longer than the client has.
     const bool last = now_ >= jobs_.at(due.request).deadline;
-    if (hop->state == HopState::kOut) {
-      CallOff(due.request, due.hop, Result::kTimeout);
+    if (hop->state == HopState::kInFlight) {
+      Cancel(due.request, due.hop, Result::kTimeout);
       if (last) due_.push({now_ + kCancelGrace, due.request, due.hop, 0});
     } else if (last) {
-      EndHop(due.request, due.hop, hop->called_off_as, std::nullopt, false);
+      EndHop(due.request, due.hop, hop->cancel_result, std::nullopt, false);
     }
   }
   armed_ = 0;
@@ -315,13 +319,13 @@
 
 // The watch moves on with whatever the module is told. Guards against a state that stays because nothing
 // comes.
-void Reducer::LookAtStorm() {
+void Reducer::CheckStorm() {
   watching_ = false;
-  GiveFigures();
+  UpdateAllowance();
 }
 
 void Reducer::On(FleetView& e) {
-  if (e.schedulers != std::exchange(fleet_, e).schedulers) Tell(pebblenotch::TierSize{e.schedulers});
+  if (e.schedulers != std::exchange(fleet_, e).schedulers) TellModule(pebblenotch::TierSize{e.schedulers});
 }
 
 // The probe's own result is what the module judges by; what others said is not.
@@ -332,11 +336,11 @@
 }
 
 void Reducer::On(GossipedLoad& e) {
-  Tell(pebblenotch::ProbeResult{e.target, Result::kOk, 0, e.report, std::max<Micros>(e.age, 1)});
+  TellModule(pebblenotch::ProbeResult{e.target, Result::kOk, 0, e.report, std::max<Micros>(e.age, 1)});
 }
 
 // The module acts on figures when it is next told of something: they bring about no action by themselves.
-void Reducer::GiveFigures() {
+void Reducer::UpdateAllowance() {
   std::vector<pebblenotch::Action> none;
   if (const auto figures = limits_ ? limits_->Due(now_) : std::nullopt) module_.handle(now_, *figures, none);
 }
@@ -346,13 +350,13 @@
   drain_began_ = now_;
   due_.push({now_ + stop_times_.earliest_exit, 0, 1, 0});
   due_.push({now_ + stop_times_.answers_due, 0, 2, 0});
-  if (keeper_) LeaveIdleRounds();
+  if (keeper_) EndIdleRounds();
 }
 
 // Guards the first rule at a planned stop: the program may be killed soon after, and whoever waits for an
 // answer then would get none. A durable job that came before the late arrivals outlives the process: its
 // client is answered as all others are, and it goes on without one.
-void Reducer::AnswerAllInDrain() {
+void Reducer::AnswerAllForShutdown() {
   std::vector<Ticket> tickets;
   for (const auto& [ticket, job] : jobs_) {
     if (!job.answered && !job.round) tickets.push_back(ticket);
@@ -360,15 +364,15 @@
   std::sort(tickets.begin(), tickets.end());
   for (const Ticket ticket : tickets) {
     const Job& job = jobs_.at(ticket);
-    if (job.durable && job.came_at < drain_began_ + StopTimes::kLateArrivalWindow - kAnswerMargin) {
-      AnswerAndGoOn(ticket);
+    if (job.durable && job.arrived_at < drain_began_ + StopTimes::kLateArrivalWindow - kAnswerMargin) {
+      AnswerAndContinueJob(ticket);
       continue;
     }
-    Tell(pebblenotch::AnswerNow{ticket});
+    TellModule(pebblenotch::AnswerNow{ticket});
     FinalAnswer(ticket, AnswerKind::kFailed, 0, {});  // changes nothing where the module has answered
     ForgetIfOver(ticket);
   }
-  if (keeper_) LeaveIdleRounds();
+  if (keeper_) EndIdleRounds();
 }
 
 Reducer::Hop* Reducer::FindHop(Ticket ticket, int hop) {
@@ -379,11 +383,11 @@
 
 // Guards against two hops of a request out together: the module hears that a hop is over, and so may send
 // the next, only once the target has been told or the carrier has given up telling it.
-void Reducer::CallOff(Ticket ticket, int hop, Result as) {
+void Reducer::Cancel(Ticket ticket, int hop, Result as) {
   Hop* h = FindHop(ticket, hop);
-  if (h == nullptr || h->state != HopState::kOut) return;
-  h->state = HopState::kCallingOff;
-  h->called_off_as = as;
+  if (h == nullptr || h->state != HopState::kInFlight) return;
+  h->state = HopState::kCancelling;
+  h->cancel_result = as;
   ++counters_.cancelled;
   const Job& job = jobs_.at(ticket);
   effects_->push_back(CancelHop{ticket, hop, h->target, job.id, job.durable, job.home});
@@ -393,8 +397,9 @@
   Hop& h = *FindHop(ticket, hop);
   h.state = HopState::kEnded;
   h.may_have_run = !pebblenotch::NeverRan(result);
-  --hops_out_;
-  if (limits_) limits_->HopEnded(now_, jobs_.at(ticket).job_class, result, now_ - h.sent, held_ > hops_out_);
+  --hops_in_flight_;
+  if (limits_)
+    limits_->HopEnded(now_, jobs_.at(ticket).job_class, result, now_ - h.sent, held_ > hops_in_flight_);
   ++counters_.hop_results[static_cast<int>(result)];
   if (const Job& job = jobs_.at(ticket); job.durable) {
     keeper_->HopOver(
@@ -410,7 +415,7 @@
   outcome.latency = now_ - h.sent;
   outcome.finished = finished || jobs_.at(ticket).answered;
   outcome.report = report;
-  Tell(outcome);
+  TellModule(outcome);
   ForgetIfOver(ticket);
 }
 
@@ -431,11 +436,11 @@
     TenantTable::Row& row = tenants_.At(place);
     ++(kind == AnswerKind::kServed ? row.served : kind == AnswerKind::kShed ? row.shed : row.failed);
   }
-  Release(it->second.id);
+  RetainId(it->second.id);
   const bool durable = it->second.durable;
   const Micros by = it->second.deadline;
   const int home = it->second.home;
-  if (durable) RoundOver(it->second, kind, retry_after);
+  if (durable) FinishRound(it->second, kind, retry_after);
   effects_->push_back(Answer{ticket, kind, retry_after, std::move(result), durable, by, home});
   ForgetIfOver(ticket);
 }
@@ -449,7 +454,7 @@
 
 // Guards against a second request by the name of one that is over: its hop may still be out somewhere, and
 // would be a second copy there.
-void Reducer::Release(const std::string& id) {
+void Reducer::RetainId(const std::string& id) {
   by_id_.erase(id);
   while (!released_.empty() &&
          (released_.front().first < now_ - kIdRetention || released_.size() >= kMaxRetainedIds)) {
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,9 +1,10 @@
-// The core: one reducer, `(State, Event, now) -> effects`. It knows no wire, no socket and no clock.
+// The scheduling core: a reducer `(State, Event, now) -> effects` without wire protocol, I/O or clock.
 //
-// A front turns what its wire says into events, and carries out the effects that come back, in their order.
-// The reducer owns the decision module (`pebblenotch::Dispatcher`), keeps each request's hops, and is the
-// only place where state changes. Terms: an egress target is a worker, a hop is one attempt, a ticket is the
-// front's handle for a request (never used twice), an id is the request's name on the wire.
+// A front translates its wire protocol into events and executes the returned effects in order. The reducer
+// owns the decision module (`pebblenotch::Dispatcher`) and the hops of each request;
+// state changes nowhere else.
+// Terms: an egress target is a worker of the module, a hop is one of its attempts, a ticket is the front's
+// handle of a request (never reused), an id is the name of the request on the wire. Times are microseconds.
 #ifndef HERONWAY_CORE_REDUCER_H_
 #define HERONWAY_CORE_REDUCER_H_
 
@@ -37,21 +38,21 @@
 using Ticket = pebblenotch::RequestId;
 using TargetId = pebblenotch::WorkerId;
 
-// ---- events
+// Events.
 struct RequestArrived {
-  pebblenotch::Request request;       // its `id` is the ticket; its `deadline` is when the client gives up
-  std::string id;                     // the name that the wire gives it; no two requests held have the same
-  Micros hop_timeout = 0;             // the longest that one hop may take; 0: until the client gives up
-  int max_hops = 0;                   // the client wants no more than this; 0: as many as the site allows
-  std::string client;                 // by which a repeat is known again; empty: by nothing
-  bool client_names_job = true;       // `client` names the job itself, so that to see it again is a repeat
-  std::string tenant;                 // whose it is, for the counts; empty: nobody's
-  std::optional<durable::Task> task;  // durable: taken with this, and its first round begins
-  bool round = false;                 // durable: another round of a job that was taken; no client waits
-  bool no_capacity = false;  // the front cannot hold it: it is refused at once, with a time to come back
+  pebblenotch::Request request;       // `id` is the ticket, `deadline` the time at which the client gives up
+  std::string id;                     // its name on the wire, unique among pending requests
+  Micros hop_timeout = 0;             // for each hop; 0: until the client's deadline
+  int max_hops = 0;                   // the client's own limit; 0: only the configured limit applies
+  std::string client;                 // identity by which retries are recognized; empty: none
+  bool client_names_job = true;       // `client` identifies the job, so seeing it again is a retry
+  std::string tenant;                 // for the counts per tenant; empty: not counted
+  std::optional<durable::Task> task;  // durable job: accepted with this, and its first round starts
+  bool round = false;                 // another round of a durable job; no client waits
+  bool no_capacity = false;           // the front cannot hold it: shed at once, with a retry delay
 };
 enum class CallbackState : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
-struct HopCallback {  // what a target reports of a request, by the names of the wire
+struct HopCallback {  // a target's report on a request, by wire names
   std::string id;
   TargetId from = 0;
   CallbackState state = CallbackState::kStarted;
@@ -59,21 +60,21 @@
   std::string result;
   std::optional<Report> report;
 };
-struct HopAccepted {  // the target has said that it has it
+struct HopAccepted {  // the target has confirmed that it received the hop
   Ticket request = 0;
   int hop = 0;
 };
-struct HopEnded {  // the hop's carrier ended it: refused, broken, answered with an error
+struct HopEnded {  // ended by the transport: declined, connection broken, or error answer
   Ticket request = 0;
   int hop = 0;
   Result result = Result::kError;
   std::optional<Report> report;
-  bool rejected = false;  // the target cannot use the request itself: it never ran, and never will
+  bool rejected = false;  // the target found the request malformed: it never ran and never will
 };
-struct HopCancelled {  // the target has been told, or cannot be
+struct HopCancelled {  // the target has been notified, or cannot be
   Ticket request = 0;
   int hop = 0;
-  bool never_ran = false;  // it was taken back before the target had it
+  bool never_ran = false;  // it was withdrawn before the target received it
 };
 struct ProbeEnded {
   TargetId target = 0;
@@ -81,64 +82,65 @@
   Micros latency = 0;
   std::optional<Report> report;
 };
+// The client has disconnected for good.
 struct IngressDisconnected {
   Ticket request = 0;
 };
-// Its client's connection has ended (`away`), and it may come back for the answer, or it is there again.
-// While it is away what is out runs on, and nothing more is sent.
+// The client's connection has ended (`away`), it may reconnect for the answer, or it has reconnected.
+// While it is away, hops in flight continue and no further hop is sent.
 struct IngressDetached {
   Ticket request = 0;
   bool away = true;
 };
-struct IngressConnected {};  // a connection, with nothing on it yet
+struct IngressConnected {};  // a new client connection, before its first request
 struct RoutesChanged {
   ListKind kind = ListKind::kChanges;
   std::vector<pebblenotch::WorkerEntry> entries;
 };
 struct Wake {};
 struct DrainStarted {};
-// Of durable jobs only. Such a job is known by its id throughout; a ticket is one round of it.
-struct JobSubmitted {  // taken without a client that waits for its outcome
+// The following concern durable jobs. A job keeps its id throughout; a ticket stands for one of its rounds.
+struct JobSubmitted {  // accepted without a client that waits for the outcome
   std::string id;
   durable::Task task;
 };
-struct RoundInvalid {  // the front can make no request of it any more
+struct RoundInvalid {  // the front cannot build a request from the job any more
   std::string id;
 };
-struct TargetHeartbeat {  // a sign of life that concerns no hop by name
+struct TargetHeartbeat {  // a heartbeat that refers to no particular hop
   TargetId target = 0;
 };
-struct OperatorOrder {  // of an operator's tool
+struct OperatorOrder {  // from an operator's tool
   durable::Order order;
 };
-struct StoreLoaded {};  // what was stored is there: the first event
-struct Cordon {         // an operator's drain (`on`), or its end: no new clients, nothing else changes
+struct StoreLoaded {};  // recovery from the store is complete; the first event
+struct Cordon {         // an operator's drain (`on`) or its end; affects readiness only
   bool on = true;
 };
-// What this scheduler sees of its fleet, where the cluster is on: how much of it, and how many to count on.
+// This scheduler's view of the cluster: the quorum state and the number of schedulers to share targets with.
 struct FleetView {
-  cluster::QuorumState standing = cluster::QuorumState::kAllPresent;
+  cluster::QuorumState quorum = cluster::QuorumState::kAllPresent;
   int schedulers = 1;
 };
-struct TargetSuspected {  // others say that it fails: worth one probe
+struct TargetSuspected {  // other schedulers report failures of it; it gets one probe
   TargetId target = 0;
 };
-struct GossipedLoad {  // what a target told another scheduler, `age` ago
+struct GossipedLoad {  // load that a target reported to another scheduler `age` ago
   TargetId target = 0;
   Report report;
   Micros age = 0;
 };
-// Of durable jobs that another scheduler held, or another process of this one (see durable::Keeper's homes).
-struct JobsAdopted {  // part of them; `first`: of a home
+// Durable jobs of another scheduler, or of an earlier process of this one (homes: see durable::Keeper).
+struct JobsAdopted {  // a batch of them; `first`: the first batch of this home
   int home = 0;
   bool first = false;
-  durable::Micros clock_broke = 0;  // what ran up to then ran by another's clock
+  durable::Micros clock_broke = 0;  // runs up to then were timed by another host's clock
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
-struct HomeClosing {  // they are to be handed back: none begins another round
+struct HomeClosing {  // its jobs will be handed back: none starts another round
   int home = 0;
 };
-struct HomeLost {  // they are another's now: nothing of them is answered from here any more
+struct HomeLost {  // its jobs belong to another scheduler: none is answered from here any more
   int home = 0;
 };
 using Event =
@@ -147,18 +149,18 @@
                  JobSubmitted, RoundInvalid, TargetHeartbeat, OperatorOrder, StoreLoaded, Cordon, FleetView,
                  TargetSuspected, GossipedLoad, JobsAdopted, HomeClosing, HomeLost>;
 
-// ---- effects
+// Effects.
 struct SendHop {
   Ticket request;
   int hop;
   TargetId target;
-  // The attempt's end. A time and no span: it may wait for a store before it leaves, and what its target is
-  // told is what is left then.
+  // The hop's deadline. Absolute, because the hop may wait for the store; its target is sent the time that is
+  // left when it leaves.
   Micros until;
-  bool durable = false;  // here and below: not before the records so far are stored
-  int home = 0;          // by whose store
+  bool durable = false;  // here and below: wait until all records so far are stored
+  int home = 0;          // the home whose store is waited for
 };
-struct CancelHop {  // answered by one HopCancelled
+struct CancelHop {  // the front answers with one HopCancelled
   Ticket request;
   int hop;
   TargetId target;
@@ -166,7 +168,7 @@
   bool durable = false;
   int home = 0;
 };
-struct HopCompleted {  // by its target's call-back: the carrier need not wait for an answer to the hop itself
+struct HopCompleted {  // by its target's callback: the transport need not wait for a response
   Ticket request;
   int hop;
 };
@@ -175,23 +177,23 @@
   Ticket request;
   AnswerKind kind;
   Micros retry_after;  // 0: no advice
-  std::string result;  // where served, untouched
+  std::string result;  // if served; passed through unchanged
   bool durable = false;
-  Micros by = 0;  // durable: when its client has to have it
+  Micros by = 0;  // durable: the time by which the client must have it
   int home = 0;
 };
 struct StartProbe {
   TargetId target;
 };
 struct SubscribeRoutes {};
-struct WakeAt {  // replaces the one before
+struct WakeAt {  // replaces the previous one
   Micros at;
 };
-struct Drained {};
-struct StormChanged {  // to be told to the operators
+struct Drained {};     // the graceful shutdown is complete
+struct StormChanged {  // to be reported to the operators
   limits::StormChange change;
 };
-struct Persist {  // to the store, in this order
+struct Persist {  // to be stored in this order
   std::vector<durable::Record> records;
   int home = 0;
 };
@@ -199,106 +201,105 @@
   std::string id;
   int home = 0;
 };
-struct Settled {  // this job has its answer, or is gone: whoever waits for it is told
+struct Settled {  // the job has its answer or was discarded; waiting clients are notified
   std::string id;
   int home = 0;
 };
 using Effect = std::variant<SendHop, CancelHop, HopCompleted, Answer, StartProbe, SubscribeRoutes, WakeAt,
                             Drained, StormChanged, Persist, StartRound, Settled>;
 
-struct ClassCounts {  // of one class, by the names that the operators' figures give them
+struct ClassCounts {  // per class, under the names of the metrics
   std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
 };
 struct Counters {
-  std::vector<ClassCounts> by_class;  // by the module's class index; a class not seen yet has no entry
+  std::vector<ClassCounts> by_class;  // by class index; classes not seen yet have no entry
   std::uint64_t taken = 0, hops = 0, cancelled = 0, probes = 0;
   std::uint64_t served = 0, shed = 0, failed = 0, rejected = 0, disconnected = 0;
   std::uint64_t hop_results[8] = {};  // by pebblenotch::Result
-  std::uint64_t late_callbacks = 0;   // call-backs that matched no hop
+  std::uint64_t late_callbacks = 0;   // callbacks that matched no hop
   Invariants invariants;
 };
 
 class Reducer {
  public:
-  // `take_limit`: a hop that its target has not taken, and of which nothing is heard, is called off after
-  // this long; 0: never. `limits`: where they are enabled, the module decides by their figures, and refused
-  // clients are told times of their calendar.
-  // `keeper`: of durable jobs, with what was stored in it; null: there are none.
+  // `take_limit`: a hop that its target has not confirmed in any way is cancelled after this long; 0: never.
+  // `limits`: if enabled, their figures guide the module, and shed clients get times of their calendar.
+  // `keeper`: manages durable jobs, restored from the store; null if durable jobs are off.
   Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit = 0,
           const limits::Settings& limits = {}, std::unique_ptr<durable::Keeper> keeper = nullptr);
 
-  // Takes one event and appends what is to be done about it.
+  // Processes one event and appends the resulting effects.
   void Reduce(Micros now, Event event, std::vector<Effect>& effects);
 
-  // Requests that have no final answer yet and whose client waits for one.
+  // The number of requests without a final answer whose client waits for one.
   std::size_t pending() const { return held_ - rounds_; }
-  // The id belongs to a request that is held, or was until of late.
+  // The id belongs to a pending request or to one that ended recently.
   bool IsKnown(const std::string& id) const {
     return by_id_.contains(id) || recent_.contains(std::hash<std::string>{}(id));
   }
   bool IsPending(const std::string& id) const { return by_id_.contains(id); }
   bool draining() const { return drain_began_ >= 0; }
-  // The times of a graceful shutdown, from its beginning.
+  // The deadlines of a graceful shutdown, relative to its start.
   const StopTimes& stop_times() const { return stop_times_; }
-  // A graceful shutdown has come so far that whatever arrives is refused at once.
+  // The graceful shutdown is so far along that every arrival is shed at once.
   bool ShedsAllArrivals(Micros now) const {
     return drain_began_ >= 0 && now >= drain_began_ + stop_times_.answers_due - kAnswerMargin;
   }
-  bool cordoned() const { return cordoned_; }  // by an operator: wants no new clients
+  bool cordoned() const { return cordoned_; }  // drained by an operator: not ready for new clients
   const Counters& counters() const { return counters_; }
-  // Of what is broken while it acts, those of the decision module included.
+  // Violation counts, including those of the decision module.
   Invariants invariants() const;
-  // Nothing that is held depends on it: jobs run on and are answered in every standing.
+  // Pending requests do not depend on it: they are served and answered in every quorum state.
   const FleetView& fleet() const { return fleet_; }
-  const pebblenotch::Dispatcher& module() const { return module_; }  // to look in; changes nothing
+  const pebblenotch::Dispatcher& module() const { return module_; }  // for inspection
   const TenantTable& tenants() const { return tenants_; }
-  const durable::Keeper* keeper() const { return keeper_.get(); }  // null where nothing is durable
-  const limits::Limits* limits() const { return limits_.get(); }   // null where they are off
+  const durable::Keeper* keeper() const { return keeper_.get(); }  // null if durable jobs are off
+  const limits::Limits* limits() const { return limits_.get(); }   // null if disabled
 
-  // An answer must reach the client before it gives up; what the link and a busy core may take comes off.
+  // Subtracted from the client's deadline, for the network and for a busy CPU.
   static constexpr Micros kAnswerMargin = 30'000;
-  // At the deadline, how long the front has for saying what became of a hop that it calls off.
+  // At the deadline, the time that the front has to report the outcome of a cancelled hop.
   static constexpr Micros kCancelGrace = 3'000;
-  // Ids of requests that are over are remembered for so long, and so many of them at most.
+  // Ids of ended requests are retained this long, and at most this many.
   static constexpr Micros kIdRetention = 60'000'000;
   static constexpr std::size_t kMaxRetainedIds = 8192;
-  // While there is a storm its watch is looked at this often, however quiet it is.
+  // During a storm its watch is evaluated at least this often, even without traffic.
   static constexpr Micros kStormCheckInterval = 500'000;
-  // What a request that cannot be held is told, where the limits know no better.
+  // Retry delay of a request that cannot be held, unless the limits give another.
   static constexpr Micros kNoCapacityRetryAfter = 1'000'000;
 
  private:
-  enum class HopState : std::uint8_t { kOut, kCallingOff, kEnded };
+  enum class HopState : std::uint8_t { kInFlight, kCancelling, kEnded };
   struct Hop {
     TargetId target = 0;
     Micros sent = 0;
-    HopState state = HopState::kOut;
-    bool may_have_run = false;  // once it has ended
-    bool taken = false;         // by the target's word, whichever way it came
-    std::uint32_t epoch = 0;    // durable: of its lease
-    Result called_off_as = Result::kCancelled;
+    HopState state = HopState::kInFlight;
+    bool may_have_run = false;  // valid once it has ended
+    bool taken = false;         // confirmed by the target, by response or callback
+    std::uint32_t epoch = 0;    // durable: lease epoch
+    Result cancel_result = Result::kCancelled;
   };
   struct Job {
     std::string id;
-    Micros came_at = 0, deadline = 0, hop_timeout = 0;
+    Micros arrived_at = 0, deadline = 0, hop_timeout = 0;
     int max_hops = 0;
     int job_class = 0;
     TenantTable::RowIndex tenant = TenantTable::kNone;
     limits::ClientHash client = 0;
     limits::Limits::Arrival came;
     bool answered = false;
-    bool away = false;                    // its client is
-    bool durable = false, round = false;  // `round`: durable, and no client waits
+    bool away = false;                    // the client is detached
+    bool durable = false, round = false;  // `round`: no client waits
     int home = 0;                         // durable
     std::vector<Hop> hops;
   };
   struct Due {
     Micros at;
-    Ticket request;  // 0: a timer: by `hop` 0 the module's, 1 and 2 the drain's, 3 the storm watch's, 4 the
-                     // keeper's
+    Ticket request;  // 0: a timer. `hop` then selects it: 0 module, 1 and 2 drain, 3 storm watch, 4 job
+                     // manager
     int hop;
-    std::uint32_t label;  // of the module's timer
-    bool take = false;    // the hop must have been taken by now
+    std::uint32_t label;  // label of the module's timer
+    bool take = false;    // checks that the hop was confirmed
     bool operator>(const Due& o) const { return at > o.at; }
   };
 
@@ -327,26 +328,26 @@
   void On(TargetSuspected& e);
   void On(GossipedLoad& e);
   ClassCounts& CountsOf(int job_class);
-  bool MayBegin(const Job& job, Micros limit);
+  bool MayStartHop(const Job& job, Micros limit);
 
-  void TellKeeper(const Job& job, int hop, const HopCallback& e);
-  void OrphanNews(const HopCallback& e);
-  void LookAtDurable();
-  void OfferRounds();
-  void LeaveIdleRounds();
-  void Flush();
-  void Tell(const pebblenotch::Event& event);
-  void Carry(const pebblenotch::Action& action);
+  void ReportToKeeper(const Job& job, int hop, const HopCallback& e);
+  void OnUnmatchedCallback(const HopCallback& e);
+  void CheckLeases();
+  void StartDueRounds();
+  void EndIdleRounds();
+  void EmitRecords();
+  void TellModule(const pebblenotch::Event& event);
+  void Execute(const pebblenotch::Action& action);
   void EndHop(Ticket ticket, int hop, Result result, std::optional<Report> report, bool finished);
-  void CallOff(Ticket ticket, int hop, Result as);
+  void Cancel(Ticket ticket, int hop, Result as);
   void FinalAnswer(Ticket ticket, AnswerKind kind, Micros retry_after, std::string result);
-  void RoundOver(const Job& job, AnswerKind kind, Micros wait);
+  void FinishRound(const Job& job, AnswerKind kind, Micros wait);
   void ForgetIfOver(Ticket ticket);
-  void Release(const std::string& id);
-  void AnswerAllInDrain();
-  void AnswerAndGoOn(Ticket ticket);
-  void LookAtStorm();
-  void GiveFigures();
+  void RetainId(const std::string& id);
+  void AnswerAllForShutdown();
+  void AnswerAndContinueJob(Ticket ticket);
+  void CheckStorm();
+  void UpdateAllowance();
   Hop* FindHop(Ticket ticket, int hop);
 
   pebblenotch::Settings settings_;
@@ -354,23 +355,23 @@
   pebblenotch::Dispatcher module_;
   std::unique_ptr<limits::Limits> limits_;
   std::unique_ptr<durable::Keeper> keeper_;
-  durable::Records records_;                               // not handed to the store yet
-  std::unordered_map<TargetId, durable::Holder> holders_;  // durable: where targets stand
+  durable::Records records_;                                        // not passed to Persist yet
+  std::unordered_map<TargetId, durable::Holder> target_locations_;  // durable: zone and cell of targets
   Micros keeper_wake_ = 0;
   Micros now_ = 0, take_limit_;
   std::vector<Effect>* effects_ = nullptr;
   std::deque<pebblenotch::Action> actions_;
-  bool carrying_ = false;
+  bool executing_ = false;
 
   std::unordered_map<Ticket, Job> jobs_;
   std::unordered_map<std::string, Ticket> by_id_;
-  std::deque<std::pair<Micros, std::size_t>> released_;  // hashes of ids, oldest first
+  std::deque<std::pair<Micros, std::size_t>> released_;  // time and hash of ended ids, oldest first
   std::unordered_set<std::size_t> recent_;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   Micros armed_ = 0;
-  bool watching_ = false;  // a wake is due for the storm's watch
-  std::size_t held_ = 0, hops_out_ = 0;
-  std::size_t rounds_ = 0;  // of those held, no client waits
+  bool watching_ = false;  // a wake-up for the storm watch is scheduled
+  std::size_t held_ = 0, hops_in_flight_ = 0;
+  std::size_t rounds_ = 0;  // of those in held_, requests for which no client waits
   Micros drain_began_ = -1;
   bool drained_ = false, cordoned_ = false;
   Counters counters_;
--- a/src/core/tenants.h
+++ b/src/core/tenants.h
@@ -1,4 +1,4 @@
-// What became of each tenant's requests: a fixed table, however many names clients send.
+// Request counts per tenant, in a table whose size is bounded however many names clients send.
 #ifndef HERONWAY_CORE_TENANTS_H_
 #define HERONWAY_CORE_TENANTS_H_
 
@@ -10,11 +10,12 @@
 
 namespace heronway::core {
 
+// Counts the requests of each tenant. Not thread-safe.
 class TenantTable {
  public:
   static constexpr std::size_t kMaxNamedTenants =
-      1024;  // with a row of their own; all later ones share the first row
-  static constexpr std::size_t kMaxNameBytes = 64;  // bytes of a name that tell; the rest is cut
+      1024;                                         // tenants with a row of their own; later ones share row 0
+  static constexpr std::size_t kMaxNameBytes = 64;  // longer names are truncated
   struct Row {
     std::string name;
     std::uint64_t taken = 0, served = 0, shed = 0, failed = 0, disconnected = 0;
@@ -24,7 +25,8 @@
 
   TenantTable() { rows_.push_back({"(others)"}); }
 
-  // The tenant's row. `name` is the client's to choose: what is not plain text is written as '?'.
+  // Returns the tenant's row and adds one if it is new. Clients choose `name`, so bytes outside printable
+  // ASCII, and spaces, are replaced by '?'.
   RowIndex IndexOf(std::string_view name) {
     std::string kept(name.substr(0, kMaxNameBytes));
     for (char& c : kept) c = c > 0x20 && c < 0x7f ? c : '?';
@@ -34,7 +36,7 @@
     return indexes_.emplace(rows_.back().name, static_cast<RowIndex>(rows_.size() - 1)).first->second;
   }
   Row& At(RowIndex index) { return rows_[index]; }
-  const std::deque<Row>& rows() const { return rows_; }  // in the order in which they came
+  const std::deque<Row>& rows() const { return rows_; }  // in order of first appearance
 
  private:
   std::deque<Row> rows_;
