--- a/src/cluster/copies/commands.cpp
+++ b/src/cluster/copies/commands.cpp
@@ -11,20 +11,20 @@
 namespace heronway::cluster::copies {
 namespace {
 
-log::Index LastOf(const StoredGroup& g) {
+log::Index LastIndex(const StoredGroup& g) {
   return (g.log.snapshot == nullptr ? 0 : g.log.snapshot->index) + g.log.entries.size();
 }
-log::Term LastTermOf(const StoredGroup& g) {
+log::Term LastTerm(const StoredGroup& g) {
   if (!g.log.entries.empty()) return g.log.entries.back()->term;
   return g.log.snapshot == nullptr ? 0 : g.log.snapshot->term;
 }
 
-std::vector<StoredGroup> GroupsIn(const std::string& folder) {
+std::vector<StoredGroup> ReadGroups(const std::string& folder) {
   if (!std::filesystem::exists(ReplicaStore::FilePath(folder)))
-    throw std::runtime_error(ReplicaStore::FilePath(folder) + ": no copies are kept there");
-  ReplicaStore disk(
+    throw std::runtime_error(ReplicaStore::FilePath(folder) + ": there are no copies in this folder");
+  ReplicaStore store(
       folder, [] {}, true);
-  return disk.Read();
+  return store.Read();
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
                  s["member"].asString() +
                  (s["on_disk"].isNull() ? "" : ":" + std::to_string(s["on_disk"].asUInt64()));
     }
-    // Led and run are two things: its owner may be away, and nobody has taken its jobs over.
+    // A leader does not always run the jobs: the owner may be gone while no member has taken them over yet.
     const std::string role = g["role"].asString() + (g["held"].asBool() ? ",holds" : "");
     std::printf("%-44s %-13s %-16s %5llu %10llu %10llu  %s\n", g["group"].asCString(), role.c_str(),
                 g["leader"].asCString(), static_cast<unsigned long long>(g["term"].asUInt64()),
@@ -56,11 +56,11 @@
 
 int ShowCopies(const std::string& folder) {
   std::printf("%-44s %10s %10s %9s  %s\n", "GROUP", "LAST TERM", "LAST", "SNAPSHOT", "SERVERS");
-  for (const StoredGroup& g : GroupsIn(folder)) {
+  for (const StoredGroup& g : ReadGroups(folder)) {
     std::string servers;
-    for (const auto& [id, who] : g.servers) servers += (servers.empty() ? "" : " ") + who.first;
+    for (const auto& [id, server] : g.servers) servers += (servers.empty() ? "" : " ") + server.first;
     std::printf("%-44s %10llu %10llu %9llu  %s\n", g.group.c_str(),
-                static_cast<unsigned long long>(LastTermOf(g)), static_cast<unsigned long long>(LastOf(g)),
+                static_cast<unsigned long long>(LastTerm(g)), static_cast<unsigned long long>(LastIndex(g)),
                 static_cast<unsigned long long>(g.log.snapshot == nullptr ? 0 : g.log.snapshot->index),
                 servers.c_str());
   }
@@ -68,13 +68,13 @@
 }
 
 int RestoreCopy(const std::string& folder, const std::string& group, const std::string& to) {
-  if (std::filesystem::exists(to)) throw std::runtime_error(to + ": it is there already");
-  for (const StoredGroup& g : GroupsIn(folder)) {
+  if (std::filesystem::exists(to)) throw std::runtime_error(to + ": the file exists already");
+  for (const StoredGroup& g : ReadGroups(folder)) {
     if (g.group != group) continue;
     if (g.log.snapshot == nullptr)
-      throw std::runtime_error(group + ": this copy never had the whole; take another");
+      throw std::runtime_error(group + ": this copy is incomplete; use another copy");
     const auto contents = DecodeStoreContents(g.log.snapshot->data);
-    if (!contents) throw std::runtime_error(group + ": its snapshot cannot be read; take another copy");
+    if (!contents) throw std::runtime_error(group + ": the snapshot is corrupt; use another copy");
     durable::SqliteStore store(
         {to, contents->classes, std::vector<durable::ClassRules>(contents->classes.size()), 0},
         durable::SqliteStore::Use::kServe);
@@ -85,19 +85,19 @@
       if (e->kind != log::EntryKind::kData) continue;
       const auto batch = DecodeBatch(e->data);
       const auto records = batch ? durable::DecodeRecords(batch->records) : std::nullopt;
-      if (!records) throw std::runtime_error(group + ": an entry cannot be read; take another copy");
-      if (!IsEffective(*batch, applied)) continue;  // proposed twice, or by one that held the group no more
+      if (!records) throw std::runtime_error(group + ": an entry is corrupt; use another copy");
+      if (!IsEffective(*batch, applied)) continue;  // a duplicate, or of an epoch that is over
       applied.life = batch->epoch;
       applied.number = batch->number;
       store.Append(*records);
       ++batches;
     }
     std::printf(
-        "%s: made of the copy of %s up to entry %llu of term %llu (%zu jobs in the snapshot, %zu batches "
-        "behind it).\nWhat other copies have beyond that entry is lost, unless one of them is taken "
-        "instead: compare with heronway copies show.\n",
-        to.c_str(), group.c_str(), static_cast<unsigned long long>(LastOf(g)),
-        static_cast<unsigned long long>(LastTermOf(g)), contents->jobs.size(), batches);
+        "%s: created from the copy of %s up to entry %llu of term %llu (%zu jobs in the snapshot, %zu "
+        "batches after it).\nWhat other copies have after that entry is lost: compare with heronway copies "
+        "show, and restore from another copy if it has more.\n",
+        to.c_str(), group.c_str(), static_cast<unsigned long long>(LastIndex(g)),
+        static_cast<unsigned long long>(LastTerm(g)), contents->jobs.size(), batches);
     return 0;
   }
   throw std::runtime_error(folder + " has no copy of " + group);
--- a/src/cluster/copies/commands.h
+++ b/src/cluster/copies/commands.h
@@ -1,4 +1,4 @@
-// heronway copies list|show|restore.
+// The sub-commands heronway copies list, show and restore.
 #ifndef HERONWAY_CLUSTER_COPIES_COMMANDS_H_
 #define HERONWAY_CLUSTER_COPIES_COMMANDS_H_
 
@@ -6,11 +6,11 @@
 
 namespace heronway::cluster::copies {
 
-// Each gives the exit status; throws std::runtime_error, or durable::StoreError, with one line.
+// Each returns the exit status. Throws std::runtime_error or durable::StoreError with a message of one line.
 int ListCopies(const std::string& console, bool json);
 int ShowCopies(const std::string& folder);
-// An operator's explicit step: a store with what this one copy has. What the copy lacks is lost with it, so
-// the copy with the newest last entry is to be taken.
+// Writes a store file `to` from one replica of `group` in `folder`. Entries that this replica lacks are lost,
+// so the operator has to choose the replica with the newest last entry.
 int RestoreCopy(const std::string& folder, const std::string& group, const std::string& to);
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/frames.cpp
+++ b/src/cluster/copies/frames.cpp
@@ -13,11 +13,11 @@
 
 constexpr const char* kMagic = "hwl";
 
-// Guards the log, the console and the names of files: such texts are printed, and a group's is a file's too.
-std::string PrintableText(pack::ArrayReader& in, std::size_t most) {
+// Rejects control characters and quotes: these texts are printed to the log and the console.
+std::string PrintableText(pack::ArrayReader& in, std::size_t max_bytes) {
   std::string text = in.Next().as<std::string>();
   for (const char c : text) pack::ArrayReader::Require(c > ' ' && c < 127 && c != '"' && c != '\\');
-  pack::ArrayReader::Require(text.size() <= most);
+  pack::ArrayReader::Require(text.size() <= max_bytes);
   return text;
 }
 
@@ -27,28 +27,29 @@
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(11);
-  out.pack(kMagic).pack(kVersion).pack(static_cast<int>(f.kind));
+  out.pack(kMagic).pack(kProtocolVersion).pack(static_cast<int>(f.kind));
   out.pack(f.fleet).pack(f.from).pack(f.to).pack(f.detail).pack(f.group);
   out.pack_bin(static_cast<std::uint32_t>(f.message.size()));
   out.pack_bin_body(f.message.data(), static_cast<std::uint32_t>(f.message.size()));
   out.pack(f.server);
   out.pack_array(static_cast<std::uint32_t>(f.servers.size()));
-  for (const auto& [id, who] : f.servers) {
+  for (const auto& [id, server] : f.servers) {
     out.pack_array(3);
-    out.pack(id).pack(who.first).pack(who.second);
+    out.pack(id).pack(server.first).pack(server.second);
   }
   const std::uint32_t size = htonl(static_cast<std::uint32_t>(bytes.size()));
-  std::string whole(reinterpret_cast<const char*>(&size), kHeaderBytes);
-  whole.append(bytes.data(), bytes.size());
-  return whole;
+  std::string frame(reinterpret_cast<const char*>(&size), kHeaderBytes);
+  frame.append(bytes.data(), bytes.size());
+  return frame;
 }
 
 std::optional<Frame> Decode(std::string_view bytes) {
   try {
     const msgpack::unpack_limit limit(64, 0, 256, kMaxFrameBytes, 0, 4);
-    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
-    pack::ArrayReader in(whole.get(), 11);
-    if (in.Next().as<std::string_view>() != kMagic || in.Next().as<int>() != kVersion) return std::nullopt;
+    const msgpack::object_handle root = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limit);
+    pack::ArrayReader in(root.get(), 11);
+    if (in.Next().as<std::string_view>() != kMagic || in.Next().as<int>() != kProtocolVersion)
+      return std::nullopt;
     Frame f;
     f.kind = in.Enum(Frame::Kind::kReply);
     f.fleet = PrintableText(in, kMaxFleetNameBytes);
--- a/src/cluster/copies/frames.h
+++ b/src/cluster/copies/frames.h
@@ -1,4 +1,4 @@
-// What members say to each other of copies, on a connection: its length, then MessagePack, version 1.
+// The frames of a replication connection: a length, then MessagePack, protocol version 1.
 #ifndef HERONWAY_CLUSTER_COPIES_FRAMES_H_
 #define HERONWAY_CLUSTER_COPIES_FRAMES_H_
 
@@ -11,38 +11,44 @@
 
 namespace heronway::cluster::copies {
 
-inline constexpr int kVersion = 1;
-inline constexpr std::size_t kMaxFrameBytes = 2 * 1024 * 1024;  // bytes
-inline constexpr std::size_t kMaxGroupNameBytes = 160;          // of a group's name
-inline constexpr std::size_t kHeaderBytes = 4;                  // a frame's length, in network order
+inline constexpr int kProtocolVersion = 1;
+inline constexpr std::size_t kMaxFrameBytes = 2 * 1024 * 1024;
+inline constexpr std::size_t kMaxGroupNameBytes = 160;
+inline constexpr std::size_t kHeaderBytes = 4;  // the length in front of a frame, in network byte order
 
-// A kind of its own would end connections with members of before it; they pass over such a word.
+// Outer name: sent in `detail`.
+// Marks a kRequest or kReply that carries a job lookup. A frame kind of its own would make members of an
+// older version close the connection, while they ignore an unknown detail.
 inline constexpr const char* kLookup = "lookup";
 
-// A group's name: its owner, the owner's front and when it was made, as OWNER/FRONT/LIFE.
+// A group's name has its owner, the owner's front and the time of its creation, as OWNER/FRONT/CREATED_AT.
+// In a kRequest and its kReply, `group` is the front, `server` the number of the request and `message` the
+// encoded content (report_forwarder.h, job_lookup.h). The `detail` of a reply to a report is its outcome:
+// taken, nobody or again.
 struct Frame {
   enum class Kind : std::uint8_t {
-    kHello,    // the first of a connection: who speaks, to whom, and where it listens
+    kHello,    // first frame: sender, receiver and the sender's listening address
     kLog,      // a message of a group's log
-    kInvite,   // keep a copy of this group
-    kAccept,   // the answer: by this server
-    kServers,  // which member each server of a group is
-    kRequest,  // a worker's word of a job that the sender does not hold: `group` is the front, `server` a number
-    kReply,  // the answer to it, by the same number: `at` is taken, nobody or again
-    // Where `at` is kLookup, they are a question about a job and its answer (lookup.h), in `message`.
+    kInvite,   // asks the receiver to keep a replica of this group
+    kAccept,   // accepts an invitation, with the server's id
+    kServers,  // the member and address of each server of a group
+    kRequest,  // a worker's report, or a job lookup where `detail` is kLookup
+    // the answer
+    kReply,
   };
   Kind kind = Kind::kHello;
-  std::string fleet, from, to, detail;  // kHello; `at`: as 10.0.0.4:7947
+  // `detail` of a kHello: the listening address, such as 10.0.0.4:7947.
+  std::string fleet, from, to, detail;
   std::string group;
-  std::string message;       // kLog, encoded
-  log::ServerId server = 0;  // kHere
+  std::string message;       // an encoded log::Message in a kLog
+  log::ServerId server = 0;  // the server's id in a kAccept
   std::map<log::ServerId, std::pair<std::string, std::string>>
-      servers;  // kNames: member, and where it listens
+      servers;  // In a kServers: the member of each server, and its listening address.
 };
 
-// With its length in front.
+// Returns the encoded frame with its length in front.
 std::string Encode(const Frame& frame);
-// Of the bytes behind the length. Nothing where they are no such frame.
+// Decodes the bytes after the length. Returns nothing if they are not a valid frame.
 std::optional<Frame> Decode(std::string_view bytes);
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/job_lookup.cpp
+++ b/src/cluster/copies/job_lookup.cpp
@@ -9,21 +9,21 @@
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr std::size_t kMaxJobNameBytes = 4096;        // bytes
-constexpr std::size_t kMaxResultBytes = 1024 * 1024;  // bytes
+constexpr std::size_t kMaxJobNameBytes = 4096;
+constexpr std::size_t kMaxResultBytes = 1024 * 1024;
 constexpr std::size_t kMaxGroups = 64;
 
 template <typename T>
-std::string Packed(const T& pack_members) {
+std::string Packed(const T& pack_fields) {
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
-  pack_members(out);
+  pack_fields(out);
   return {bytes.data(), bytes.size()};
 }
 
-std::string ShortText(pack::ArrayReader& in, std::size_t most) {
+std::string BoundedText(pack::ArrayReader& in, std::size_t max_bytes) {
   std::string text = in.Next().as<std::string>();
-  pack::ArrayReader::Require(text.size() <= most);
+  pack::ArrayReader::Require(text.size() <= max_bytes);
   return text;
 }
 
@@ -52,11 +52,11 @@
 
 std::optional<JobQuery> DecodeJobQuery(std::string_view bytes) {
   try {
-    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::ArrayReader in(whole.get(), 3);
+    const msgpack::object_handle root = msgpack::unpack(bytes.data(), bytes.size());
+    pack::ArrayReader in(root.get(), 3);
     JobQuery query;
-    query.own_group = ShortText(in, kMaxGroupNameBytes);
-    query.name.text = ShortText(in, kMaxJobNameBytes);
+    query.own_group = BoundedText(in, kMaxGroupNameBytes);
+    query.name.text = BoundedText(in, kMaxJobNameBytes);
     query.name.is_alias = in.Next().as<bool>();
     return query;
   } catch (const std::exception&) {
@@ -66,11 +66,11 @@
 
 std::optional<JobReply> DecodeJobReply(std::string_view bytes) {
   try {
-    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::ArrayReader in(whole.get(), 4);
+    const msgpack::object_handle root = msgpack::unpack(bytes.data(), bytes.size());
+    pack::ArrayReader in(root.get(), 4);
     JobReply reply;
     reply.status = in.Enum(LookupStatus::kFailed);
-    reply.result = ShortText(in, kMaxResultBytes);
+    reply.result = BoundedText(in, kMaxResultBytes);
     reply.groups = Groups(in);
     reply.served = Groups(in);
     return reply;
--- a/src/cluster/copies/job_lookup.h
+++ b/src/cluster/copies/job_lookup.h
@@ -1,6 +1,7 @@
-// Whether another member has a job that this scheduler does not know: a scheduler that comes back without its
-// disk has forgotten what it took, and a successor runs it. The group that has the job owns it, so whoever is
-// back asks before it takes a job by a name that it does not know. Pure: what is sent is its caller's.
+// Lookup of a job at the other members. A scheduler that restarts without its disk does not know the jobs
+// that it accepted before, while a successor runs them. A job belongs to the group that has it, so the
+// restarted scheduler asks the others before it accepts a job whose name it does not know. Nothing here does
+// I/O: the caller sends the frames.
 #ifndef HERONWAY_CLUSTER_COPIES_JOB_LOOKUP_H_
 #define HERONWAY_CLUSTER_COPIES_JOB_LOOKUP_H_
 
@@ -16,29 +17,31 @@
 
 namespace heronway::cluster::copies {
 
-// How a client names a job: by its id, or by what its key stands for (durable::Job::alias).
+// How a client names a job: by its id, or by the alias that its key stands for (durable::Job::alias).
 struct JobName {
-  std::string text;  // empty: no job is meant
+  std::string text;  // empty if the query is about the groups alone
   bool is_alias = false;
 };
 
-// kNotNow: it cannot be told at this moment, and should be asked again.
+// kRetry: the status is not known at this moment; the client should ask again. The order is sent between
+// members.
 enum class LookupStatus : std::uint8_t { kUnknown, kRetry, kOpen, kDone, kFailed };
 
 struct JobQuery {
-  std::string own_group;  // that the asker's jobs are in now: others of its front's are of lives before
+  // The sender's current group for the front; its other groups of that front are former ones.
+  std::string own_group;
   JobName name;
 };
 struct JobReply {
   LookupStatus status = LookupStatus::kUnknown;
-  std::string result;               // kDone
-  std::vector<std::string> groups;  // groups of the asker's lives before, of which a copy is here
-  std::vector<std::string> served;  // of these, the ones whose jobs are run here
+  std::string result;               // result of a job in kDone
+  std::vector<std::string> groups;  // the sender's former groups with a replica here
+  std::vector<std::string> served;  // those of `groups` whose jobs are run here
 };
 
 std::string Encode(const JobQuery& query);
 std::string Encode(const JobReply& reply);
-// Nothing where the bytes are none.
+// Return nothing if the bytes are not a valid message.
 std::optional<JobQuery> DecodeJobQuery(std::string_view bytes);
 std::optional<JobReply> DecodeJobReply(std::string_view bytes);
 
@@ -46,30 +49,34 @@
   LookupStatus status = LookupStatus::kUnknown;
   std::string result;
 };
-// `silence_counts`: a member that did not answer may have the job. A group of which there is a copy, and that
-// nobody holds, may have it in any case.
+// Combines the replies to a query. `silence_matters`: a member that did not answer may have the job. A group
+// that has a replica and that no member serves may have it in any case.
 LookupResult CombineReplies(const MemberQueries<JobReply>::Outcome& outcome, bool silence_matters);
 
-// Which members may have copies of what this scheduler took in lives before, for one front.
+// Tracks which members may have replicas of this scheduler's former groups, for one front.
 class FormerReplicas {
  public:
-  static constexpr Micros kDiscoveryTime = 60'000'000;  // after a start, or since one is gone, to hear of it
+  // How long after a start members may be unknown, and how long a gone member may come back.
+  static constexpr Micros kDiscoveryTime = 60'000'000;
 
-  // `forgot`: this life began without what was on the disk before, or is the first.
+  // `data_lost`: this process started without the former contents of the disk, or it is the first to use it.
   FormerReplicas(std::string self, bool data_lost, Micros started_at)
       : self_(std::move(self)), data_lost_(data_lost), started_at_(started_at) {}
 
   struct Plan {
     std::vector<std::string> query;
-    bool wait = false;  // for members that cannot be asked now and may have something
+    bool wait = false;  // members that cannot be queried now may have replicas
   };
-  // `members`: that keep copies. `nobody_heard`: there should be others, and none has been heard yet.
+  // `members` are those that can keep replicas. `no_member_heard`: the settings name other members, and none
+  // is known yet.
   Plan MembersToQuery(Micros now, const std::vector<Candidate>& members, bool no_member_heard) const;
-  // Copies are made by a group's leader in its owner's life alone: who has none will not get any.
-  void NoteReply(const std::string& member, bool has_copies) {
-    has_copies ? with_groups_.insert(member) : without_groups_.insert(member);
+  // Only the owner's process adds replicas to its group, so a member without a replica of a former group will
+  // not get one.
+  void NoteReply(const std::string& member, bool has_groups) {
+    has_groups ? with_groups_.insert(member) : without_groups_.insert(member);
   }
-  // One that did not answer. Who went on with its disk takes that for a member that has nothing to say.
+  // Notes a member that did not answer. A scheduler that kept its disk treats it as one without former
+  // groups.
   void NoteSilence(const std::string& member) {
     if (!data_lost_ && !with_groups_.contains(member)) without_groups_.insert(member);
   }
--- a/src/cluster/copies/links.cpp
+++ b/src/cluster/copies/links.cpp
@@ -8,7 +8,7 @@
 
 namespace heronway::cluster::copies {
 
-// One that another member began: it speaks, this one listens.
+// A connection that another member opened: it sends frames, this member receives them.
 struct Links::Inbound : net::Stream::Owner {
   Inbound(Links& owner, int fd, const net::Address& at)
       : links(owner),
@@ -19,7 +19,7 @@
   void OnData(std::string_view some) override {
     links.bytes_in += some.size();
     bytes.append(some);
-    stream.Write(".");  // it is taken: the other end tells by it that this connection lives
+    stream.Write(".");  // acknowledges the data: the peer sees that the connection works
     if (!stream.open()) return;
     std::size_t used = 0;
     while (!ended && bytes.size() - used >= kHeaderBytes) {
@@ -42,7 +42,7 @@
       hello_timer.Stop();
       from = frame.from;
       if (!frame.detail.empty()) links.SetAddress(from, frame.detail);
-      // A newer connection of a member takes the place of the one before, which may be dead without a word.
+      // A newer connection of a member replaces the former one, which may be dead without having been closed.
       for (const auto& other : links.inbound_) {
         if (other.get() != this && other->from == from && !other->ended) {
           links.End(*other);
@@ -67,7 +67,7 @@
   bool ended = false;
 };
 
-// One that this member began: it speaks.
+// A connection that this member opened, to send frames.
 struct Links::Outbound : net::Stream::Owner {
   Outbound(Links& owner, std::string member)
       : links(owner),
@@ -96,10 +96,11 @@
   std::string to;
   net::Timer redial_timer;
   std::shared_ptr<net::Stream> stream;
-  std::vector<std::string> queued;  // until it is up
+  std::vector<std::string> queued;  // until the connection is up
   std::size_t unsent_bytes = 0, queued_bytes = 0;
-  net::Micros unacked_since = -1;  // the first that was written since the other end was heard
-  bool redial_delayed = false;     // it was tried a moment ago
+  // When the first data was written since the last acknowledgement; -1: all is acknowledged.
+  net::Micros unacked_since = -1;
+  bool redial_delayed = false;  // the last dial was less than kRedialDelay ago
 };
 
 Links::Links(net::Shared& shared, const Settings& settings,
@@ -120,7 +121,8 @@
   }
 }
 
-// Guards the members that are heard against a crowd that says nothing: the oldest that has not greeted goes.
+// Protects members' connections from idle ones: closes the oldest connection without a hello, or the oldest
+// of all.
 bool Links::MakeRoom() {
   if (inbound_.size() < kMaxInbound) return true;
   const auto without_hello =
@@ -154,7 +156,7 @@
     it = outbound_.emplace(to, std::make_unique<Outbound>(*this, to)).first;
   }
   Outbound& out = *it->second;
-  // Guards against a connection that a cut has left open and silent: the system would go on trying for
+  // After a network partition the connection may stay open without progress; the system would retry for
   // minutes.
   if (out.unacked_since >= 0 && shared_.loop.Now() - out.unacked_since > kAckTimeout && out.stream &&
       out.stream->open()) {
--- a/src/cluster/copies/log_content.cpp
+++ b/src/cluster/copies/log_content.cpp
@@ -24,8 +24,8 @@
 template <typename T, typename Read>
 std::optional<T> Decode(std::string_view bytes, Read read) {
   try {
-    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::ArrayReader in(whole.get(), 4);
+    const msgpack::object_handle root = msgpack::unpack(bytes.data(), bytes.size());
+    pack::ArrayReader in(root.get(), 4);
     pack::ArrayReader::Require(in.Number<int>(1, 1 << 20) == kFormatVersion);
     return read(in);
   } catch (const std::exception&) {
@@ -124,10 +124,11 @@
     if (!contents)
       throw durable::StoreError(durable::StoreError::Kind::kCorrupt,
                                 "copies: the snapshot of " + store.file() + " cannot be read");
-    // Guards jobs of another site's classes, or another order of them.
+    // Jobs refer to their class by its position, so a snapshot with other classes or another order cannot be
+    // used.
     if (contents->classes != store.names())
       throw durable::StoreError(durable::StoreError::Kind::kOther,
-                                "copies: they are of other classes than here");
+                                "copies: the snapshot has other job classes");
     applied = contents->applied;
     applied.index = section.snapshot->index;
     store.Refill(contents->clock_broke, contents->jobs, applied);
--- a/src/cluster/copies/log_content.h
+++ b/src/cluster/copies/log_content.h
@@ -1,4 +1,4 @@
-// What goes through a group's log: batches of records, and a store whole, as its snapshot.
+// The content of a group's log: batches of job records, and the contents of a store as a snapshot.
 #ifndef HERONWAY_CLUSTER_COPIES_LOG_CONTENT_H_
 #define HERONWAY_CLUSTER_COPIES_LOG_CONTENT_H_
 
@@ -13,42 +13,45 @@
 
 namespace heronway::cluster::copies {
 
-// A batch is proposed again until it is known to be committed, so it may be there twice: the second time it
-// is passed over. `life`: of the hold under which it was proposed; `number`: counts up in it.
+// A batch is proposed again until it is known to be committed, so the log may contain it twice; the second
+// one is ignored. `epoch` is the claim under which it was proposed, and `number` counts up within the epoch.
 //
-// Number 0 takes hold of the group: from there on batches of that life alone count, until another takes
-// hold. That is the fence against a process that stood still or was cut off and goes on as if it held the
-// group: what it proposes then is in the log, perhaps, and counts for nothing anywhere.
+// Number 0 claims the group: from there on only batches of that epoch count, until the next claim. This
+// fences off a process that was paused or partitioned and continues as if it still served the group: its late
+// proposals may get into the log, but no member applies them.
 struct Batch {
   std::uint64_t epoch = 0, number = 0;
-  std::string records;  // as durable::Encode has them
+  std::string records;  // as encoded by durable::Encode
 };
-// In the life of each hold. Lives without it are of programs that knew no fence: each new one counts.
+// Set in the epoch of each claim. Epochs without it come from program versions without fencing: there, each
+// new epoch counts.
 inline constexpr std::uint64_t kFencedEpoch = std::uint64_t{1} << 63;
 std::string Encode(const Batch& batch);
 std::optional<Batch> DecodeBatch(std::string_view bytes);
-// Whether it counts where a store stands at `at`.
+// Whether a batch takes effect on a store whose position is `applied`.
 bool IsEffective(const Batch& batch, const durable::Applied& applied);
 
 struct StoreContents {
-  std::vector<std::string> classes;  // names, in their order
-  durable::Applied applied;          // where the store stood in its log
+  std::vector<std::string> classes;  // names, in the store's order
+  durable::Applied applied;          // the store's position in its log
   durable::Micros clock_broke = 0;
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
 std::string Encode(const StoreContents& contents);
 std::optional<StoreContents> DecodeStoreContents(std::string_view bytes);
-// Everything that a store holds. Throws durable::StoreError.
+// Reads everything in a store. Throws durable::StoreError.
 StoreContents ReadContents(durable::SqliteStore& store);
 
-// What a log says from some entry on: its snapshot, and the entries behind it or behind that entry.
+// The part of a log after some entry: the snapshot, if it is newer than that entry, and the entries after
+// either.
 struct LogSection {
   log::SnapshotPtr snapshot;
-  log::Index first = 1;  // of `entries`
+  log::Index first = 1;  // index of the first of `entries`
   std::vector<log::EntryPtr> entries;
 };
+// The entries in (`after`, `last`].
 LogSection ReadLog(const log::Log& log, log::Index after, log::Index last);
-// Puts a store where its log says. Gives where it stands then. Throws durable::StoreError.
+// Applies a section of its log to a store. Returns the store's new position. Throws durable::StoreError.
 durable::Applied CatchUp(durable::SqliteStore& store, const LogSection& section);
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/lookup_requests.cpp
+++ b/src/cluster/copies/lookup_requests.cpp
@@ -1,4 +1,5 @@
-// Jobs that this scheduler does not know, and another may have from a life of it before.
+// Part of ReplicaManager: queries to other members for jobs that this scheduler accepted before it lost its
+// disk.
 #include <algorithm>
 #include <utility>
 
@@ -8,31 +9,32 @@
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr Micros kLookupRetryInterval = 50'000;  // a link that has just failed loses what is sent
+constexpr Micros kLookupRetryInterval = 50'000;  // a connection that has just failed loses frames
 
-// Whether the members that are left when its owner's disk is lost can lead it: else only an operator can.
-bool MayBeLedWithoutOwner(const log::Configuration& members, const Servers& servers,
-                          const std::string& owner) {
+// Whether the replicas without the owner's can elect a leader. If they cannot, only an operator can restore
+// the group.
+bool CanElectLeaderWithoutOwner(const log::Configuration& members, const Servers& servers,
+                                const std::string& owner) {
   const auto others = std::count_if(members.voters.begin(), members.voters.end(), [&](log::ServerId id) {
-    const auto who = servers.find(id);
-    return who != servers.end() && who->second.first != owner;
+    const auto server = servers.find(id);
+    return server != servers.end() && server->second.first != owner;
   });
   return static_cast<std::size_t>(others) > members.voters.size() / 2;
 }
 
 }  // namespace
 
-void ReplicaManager::LookUpJob(const std::string& front, JobName name, Micros patience,
-                               std::function<void(LookupResult)> told) {
-  PendingLookup lookup{front, std::move(name), shared_.loop.Now() + patience, std::move(told)};
+void ReplicaManager::LookUpJob(const std::string& front, JobName name, Micros timeout,
+                               std::function<void(LookupResult)> done) {
+  PendingLookup lookup{front, std::move(name), shared_.loop.Now() + timeout, std::move(done)};
   if (TryLookup(lookup)) return;
   if (pending_lookups_.size() >= MemberQueries<JobReply>::kMaxOpen)
-    return lookup.told({LookupStatus::kRetry, {}});
+    return lookup.done({LookupStatus::kRetry, {}});
   pending_lookups_.push_back(std::move(lookup));
   if (!lookup_retry_timer_.running()) lookup_retry_timer_.Start(kLookupRetryInterval);
 }
 
-// False: members that may have the job cannot be asked yet.
+// Returns false if members that may have the job cannot be queried yet.
 bool ReplicaManager::TryLookup(PendingLookup& lookup) {
   const auto own = own_fronts_.find(lookup.front);
   const bool no_former_replicas = own == own_fronts_.end() || own->second.no_former_replicas;
@@ -40,40 +42,40 @@
       no_former_replicas ? FormerReplicas::Plan{} : MembersToQuery(own->second.former);
   if (plan.wait || lookup_queries_.full()) return false;
   if (plan.query.empty()) {
-    lookup.told({LookupStatus::kUnknown, {}});
+    lookup.done({LookupStatus::kUnknown, {}});
     return true;
   }
   ++lookups_sent_;
   SendQuery(
-      lookup.front, lookup.name, plan.query, lookup.until - shared_.loop.Now(),
-      [this, front = lookup.front, told = std::move(lookup.told)](MemberQueries<JobReply>::Outcome outcome) {
+      lookup.front, lookup.name, plan.query, lookup.deadline - shared_.loop.Now(),
+      [this, front = lookup.front, done = std::move(lookup.done)](MemberQueries<JobReply>::Outcome outcome) {
         const FormerReplicas& former = own_fronts_.at(front).former;
         const bool silence_matters =
             std::any_of(outcome.unanswered.begin(), outcome.unanswered.end(),
                         [&former](const std::string& member) { return former.silence_matters(member); });
         LookupResult result = CombineReplies(outcome, silence_matters);
         jobs_found_elsewhere_ += result.status >= LookupStatus::kOpen ? 1 : 0;
-        told(std::move(result));
+        done(std::move(result));
       });
   return true;
 }
 
 FormerReplicas::Plan ReplicaManager::MembersToQuery(const FormerReplicas& former) {
-  std::vector<Candidate> keep_copies;
+  std::vector<Candidate> candidates;
   bool no_member_heard = settings_.expects_peers;
   for (const KnownMember& member : member_source_ ? member_source_() : std::vector<KnownMember>{}) {
     no_member_heard &= member.name == settings_.name;
-    if (member.gone_since >= 0 || !member.address.empty()) keep_copies.push_back(member);
+    if (member.gone_since >= 0 || !member.address.empty()) candidates.push_back(member);
     if (!member.address.empty()) links_.SetAddress(member.name, member.address);
   }
-  return former.MembersToQuery(shared_.loop.Now(), keep_copies, no_member_heard);
+  return former.MembersToQuery(shared_.loop.Now(), candidates, no_member_heard);
 }
 
 void ReplicaManager::RetryLookups() {
   const Micros now = shared_.loop.Now();
   for (PendingLookup& lookup : std::exchange(pending_lookups_, {})) {
-    if (lookup.until <= now) {
-      lookup.told({LookupStatus::kRetry, {}});
+    if (lookup.deadline <= now) {
+      lookup.done({LookupStatus::kRetry, {}});
     } else if (!TryLookup(lookup)) {
       pending_lookups_.push_back(std::move(lookup));
     }
@@ -87,13 +89,14 @@
   if (!pending_lookups_.empty() || !open_queries_.empty()) lookup_retry_timer_.Start(kLookupRetryInterval);
 }
 
-// Says to whoever may have copies of a life before that there is another now, and hears whether it does.
+// Tells the members that may have replicas of former groups about the current group, and learns whether they
+// have any.
 void ReplicaManager::QueryFormerReplicas() {
   for (auto& [front, own] : own_fronts_) {
     const FormerReplicas::Plan plan = MembersToQuery(own.former);
     own.no_former_replicas = plan.query.empty() && !plan.wait;
     if (plan.query.empty() || lookup_queries_.full()) continue;
-    SendQuery(front, {}, plan.query, ReportForwarder::kPatience,
+    SendQuery(front, {}, plan.query, ReportForwarder::kReplyTimeout,
               [this, &own](const MemberQueries<JobReply>::Outcome& outcome) {
                 for (const std::string& member : outcome.unanswered) {
                   if (links_.IsConnected(member)) own.former.NoteSilence(member);
@@ -103,14 +106,14 @@
 }
 
 void ReplicaManager::SendQuery(const std::string& front, const JobName& name,
-                               const std::vector<std::string>& members, Micros patience,
-                               MemberQueries<JobReply>::Done told) {
+                               const std::vector<std::string>& members, Micros timeout,
+                               MemberQueries<JobReply>::Done done) {
   Frame query;
   query.kind = Frame::Kind::kRequest;
   query.detail = kLookup;
   query.group = front;
   query.message = Encode(JobQuery{own_fronts_.at(front).group, name});
-  query.server = lookup_queries_.Start(members, patience, std::move(told));
+  query.server = lookup_queries_.Start(members, timeout, std::move(done));
   for (const std::string& member : members) links_.Send(member, query);
   open_queries_.emplace(query.server, std::move(query));
   if (!lookup_retry_timer_.running()) lookup_retry_timer_.Start(kLookupRetryInterval);
@@ -126,16 +129,16 @@
   for (const auto& [name, group] : groups_) {
     Group& g = *group;
     if (g.own || OwnerOf(name) != from || FrontOf(name) != f.group) continue;
-    if (name == query->own_group) {  // also where it was another's a moment ago: its disk is back
+    if (name == query->own_group) {  // even if it was taken for abandoned before: the owner's disk is back
       g.abandoned_since = -1;
       continue;
     }
     if (g.abandoned_since < 0) {
       g.abandoned_since = shared_.loop.Now();
       heronway::log::Event(heronway::log::Level::kInfo, "copies",
-                           {{"group", name}, {"state", "its owner has lost it"}});
+                           {{"group", name}, {"state", "its owner has lost its disk"}});
     }
-    if (!MayBeLedWithoutOwner(g.log->configuration(), g.servers, from)) continue;
+    if (!CanElectLeaderWithoutOwner(g.log->configuration(), g.servers, from)) continue;
     reply.groups.push_back(name);
     if (g.channel && !g.loading) reply.served.push_back(name);
   }
--- a/src/cluster/copies/member_queries.h
+++ b/src/cluster/copies/member_queries.h
@@ -1,5 +1,5 @@
-// Questions to several members at once: whom an answer is waited for, and until when. Bounded in number and
-// time. Pure but for the loop's timer: what is sent, and what the answers mean, is its caller's.
+// Queries to several members at once: which replies are outstanding, and until when. Limited in number and
+// time. It uses only the loop's timer; the caller sends the queries and interprets the replies.
 #ifndef HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
 #define HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
 
@@ -20,33 +20,33 @@
 class MemberQueries {
  public:
   static constexpr std::size_t kMaxOpen = 256;
-  // What came until the question ended.
+  // The replies until the query ended.
   struct Outcome {
-    std::vector<std::pair<std::string, Reply>> replies;  // by member, in the order in which they came
-    std::set<std::string> unanswered;                    // were asked and have not answered
+    std::vector<std::pair<std::string, Reply>> replies;  // by member, in the order of arrival
+    std::set<std::string> unanswered;                    // queried members that have not replied
   };
   using Done = std::function<void(Outcome)>;
 
-  // `decides`: an answer that ends its question, whatever the others would say.
+  // `is_final` tells whether a reply ends its query regardless of the others.
   MemberQueries(net::Loop& loop, std::function<bool(const Reply&)> is_final)
       : loop_(loop), timer_(loop, [this] { EndExpired(); }), is_final_(std::move(is_final)) {}
 
   bool full() const { return open_.size() >= kMaxOpen; }
   std::size_t open() const { return open_.size(); }
 
-  // Who has not answered yet; null where the question is over.
+  // The members that have not replied yet; null if the query has ended.
   const std::set<std::string>* Unanswered(std::uint64_t id) const {
     const auto it = open_.find(id);
     return it == open_.end() ? nullptr : &it->second.outcome.unanswered;
   }
 
-  // The number under which `members`, of which there is one at least, are to be asked. `told` is called once:
-  // when all have answered, one has decided it, or `patience` microseconds are over.
-  std::uint64_t Start(const std::vector<std::string>& members, net::Micros patience, Done told) {
+  // Returns the id under which to query `members`, which must not be empty. `done` is called once: when all
+  // have replied, a reply is final, or `timeout` microseconds have passed.
+  std::uint64_t Start(const std::vector<std::string>& members, net::Micros timeout, Done done) {
     Query& query = open_[++last_id_];
-    query.told = std::move(told);
+    query.done = std::move(done);
     query.outcome.unanswered.insert(members.begin(), members.end());
-    query.deadline = loop_.Now() + patience;
+    query.deadline = loop_.Now() + timeout;
     ArmTimer();
     return last_id_;
   }
@@ -60,7 +60,7 @@
 
  private:
   struct Query {
-    Done told;
+    Done done;
     Outcome outcome;
     net::Micros deadline = 0;
   };
@@ -69,7 +69,7 @@
   void End(typename Open::iterator it) {
     Query ended = std::move(it->second);
     open_.erase(it);
-    ended.told(std::move(ended.outcome));
+    ended.done(std::move(ended.outcome));
   }
   void EndExpired() {
     for (;;) {
@@ -95,7 +95,7 @@
   net::Micros timer_at_ = 0;
   std::function<bool(const Reply&)> is_final_;
   std::uint64_t last_id_ = 0;
-  Open open_;  // by number
+  Open open_;  // by query id
 };
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/placement.cpp
+++ b/src/cluster/copies/placement.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 std::vector<std::string> ChooseReplicas(const std::string& owner, const std::vector<Candidate>& members,
-                                        int copies) {
+                                        int count) {
   std::vector<const Candidate*> by_weight;
   for (const Candidate& c : members) {
     if (c.gone_since < 0) by_weight.push_back(&c);
@@ -35,10 +35,10 @@
   });
   std::vector<std::string> out;
   std::set<std::string> zones;
-  // First one a zone, then whoever is left: three copies in two zones are better than two.
+  // One member of each zone first, then the rest: three replicas in two zones are better than two replicas.
   for (const bool spread : {true, false}) {
     for (const Candidate* c : by_weight) {
-      if (static_cast<int>(out.size()) >= copies) return out;
+      if (static_cast<int>(out.size()) >= count) return out;
       if (std::find(out.begin(), out.end(), c->name) != out.end()) continue;
       if (spread && !zones.insert(c->zone).second) continue;
       out.push_back(c->name);
@@ -48,32 +48,33 @@
 }
 
 std::optional<ReplicaChange> NextChange(const std::string& owner, const std::vector<std::string>& current,
-                                        const std::vector<Candidate>& members, int copies, Micros now,
+                                        const std::vector<Candidate>& members, int count, Micros now,
                                         Micros replacement_delay, bool rebalance) {
-  const std::vector<std::string> wanted = ChooseReplicas(owner, members, copies);
+  const std::vector<std::string> wanted = ChooseReplicas(owner, members, count);
   const auto is_current = [&](const std::string& name) {
     return std::find(current.begin(), current.end(), name) != current.end();
   };
   const auto is_wanted = [&](const std::string& name) {
     return std::find(wanted.begin(), wanted.end(), name) != wanted.end();
   };
-  std::string add, lost, spare;
+  std::string add, gone_member, surplus;
   for (const std::string& name : wanted) {
     if (add.empty() && !is_current(name)) add = name;
   }
   for (const std::string& name : current) {
     const Candidate* c = Find(members, name);
-    // One that is not known any more was forgotten long ago.
+    // A member that is not known any more has been gone for longer than membership remembers.
     const bool gone = c == nullptr || (c->gone_since >= 0 && now - c->gone_since >= replacement_delay);
-    if (gone) lost = name;
-    if (!gone && name != owner && !is_wanted(name) && c->gone_since < 0) spare = name;
+    if (gone) gone_member = name;
+    if (!gone && name != owner && !is_wanted(name) && c->gone_since < 0) surplus = name;
   }
-  const int count = static_cast<int>(current.size());
-  if (!lost.empty() && count > copies) return ReplicaChange{"", lost};
-  if (!lost.empty() && !add.empty()) return ReplicaChange{add, lost};
-  if (count < copies && !add.empty()) return ReplicaChange{add, ""};
-  if (count > copies && !spare.empty()) return ReplicaChange{"", spare};
-  if (rebalance && count == copies && !add.empty() && !spare.empty()) return ReplicaChange{add, spare};
+  const int current_count = static_cast<int>(current.size());
+  if (!gone_member.empty() && current_count > count) return ReplicaChange{"", gone_member};
+  if (!gone_member.empty() && !add.empty()) return ReplicaChange{add, gone_member};
+  if (current_count < count && !add.empty()) return ReplicaChange{add, ""};
+  if (current_count > count && !surplus.empty()) return ReplicaChange{"", surplus};
+  if (rebalance && current_count == count && !add.empty() && !surplus.empty())
+    return ReplicaChange{add, surplus};
   return std::nullopt;
 }
 
--- a/src/cluster/copies/placement.h
+++ b/src/cluster/copies/placement.h
@@ -1,6 +1,6 @@
-// Which members keep copies of a scheduler's log. Pure: the same members give the same places everywhere,
-// with no word between them; and a member that comes or goes moves few copies. Source: rendezvous hashing
-// (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998).
+// Chooses the members that keep replicas of a scheduler's log. The result depends on the members alone, so
+// all members agree without messages, and a member that joins or leaves moves few replicas. It is rendezvous
+// hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998).
 #ifndef HERONWAY_CLUSTER_COPIES_PLACEMENT_H_
 #define HERONWAY_CLUSTER_COPIES_PLACEMENT_H_
 
@@ -15,23 +15,23 @@
 
 struct Candidate {
   std::string name, zone;
-  Micros gone_since = -1;  // held for dead, or has left, since; -1: it is there
+  Micros gone_since = -1;  // When it was found dead or left; -1: it is present.
 };
 
-// The `copies` members, the owner first where it is among `members`, in falling order of preference. No two
-// in one zone while a zone without one is left. Members that are gone are not chosen.
+// Returns up to `count` members in descending order of preference, the owner first if it is among `members`.
+// No two are in one zone while a zone without a replica is left. Members that are gone are not chosen.
 std::vector<std::string> ChooseReplicas(const std::string& owner, const std::vector<Candidate>& members,
-                                        int copies);
+                                        int count);
 
-// A change of one copy. `add` empty: too many are kept; `remove` empty: too few.
+// A change of one replica. An empty `add` means that there are too many, an empty `remove` too few.
 struct ReplicaChange {
   std::string add, remove;
 };
-// What should be changed next, where `holders` keep the copies now; nothing: all is well, or has to wait.
-// A member that is gone is replaced after `patience`, so that a restart moves nothing; a better place than
-// one that is there is taken only with `balance`, and never for the owner's own copy.
+// Returns the next change where the members in `current` keep the replicas now, or nothing if none is due. A
+// gone member is replaced after `replacement_delay` microseconds, so that a restart moves nothing. A present
+// member is replaced by a preferred one only with `rebalance`, and the owner's own replica never.
 std::optional<ReplicaChange> NextChange(const std::string& owner, const std::vector<std::string>& current,
-                                        const std::vector<Candidate>& members, int copies, Micros now,
+                                        const std::vector<Candidate>& members, int count, Micros now,
                                         Micros replacement_delay, bool rebalance);
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/reconfiguration.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -1,4 +1,5 @@
-// Who keeps copies of a group: invitations, promotions, removals, and snapshots of what has grown.
+// Part of ReplicaManager: changes of a group's replicas (invitations, promotions, removals), handover to the
+// owner, takeover from a gone owner, and log compaction.
 #include <algorithm>
 #include <utility>
 
@@ -23,21 +24,21 @@
   const log::Configuration& servers = g.log->configuration();
   if (g.own && !g.channel && !g.opening) ClaimGroup(g);
   if (!g.own) {
-    // Its owner is to lead it: nobody else runs its jobs while that is there.
+    // While its owner is present, the owner leads the group and runs its jobs.
     for (const auto& lag : g.log->Followers()) {
-      const auto who = g.servers.find(lag.server);
-      const bool owner = who != g.servers.end() && who->second.first == OwnerOf(g.name);
+      const auto server = g.servers.find(lag.server);
+      const bool owner = server != g.servers.end() && server->second.first == OwnerOf(g.name);
       if (!owner || now - lag.last_contact > kSecond) continue;
       if (!ReleaseGroup(g) || now - g.transfer_sent_at < 2 * kSecond) return;
       g.transfer_sent_at = now;
       return HandleEvent(g, log::TransferLeadership{lag.server});
     }
-    if (g.channel && g.releasing) return StopServing(g);  // its owner has gone again meanwhile
+    if (g.channel && g.releasing) return StopServing(g);  // the owner has gone again during the release
     const auto owner = std::find_if(members.begin(), members.end(),
                                     [&g](const KnownMember& m) { return m.name == OwnerOf(g.name); });
-    // One that nobody has heard of is gone for longer than the fleet remembers.
+    // An owner that membership does not know has been gone for longer than membership remembers.
     Micros gone = owner != members.end() ? owner->gone_since : started_at_ + kDiscoveryTime;
-    // One that is there, and has lost its disk, will not lead it again.
+    // A present owner that has lost its disk will not lead this group again.
     if (gone < 0) gone = g.abandoned_since;
     if (settings_.takeover_delay > 0 && !g.channel && !members.empty() && gone >= 0 &&
         now - gone >= settings_.takeover_delay)
@@ -48,33 +49,33 @@
           std::max(kMinCompactBytes, g.log->snapshot() == nullptr ? 0 : g.log->snapshot()->data.size()))
     Compact(g);
   if (!g.own) return;
-  const auto change = [&](log::ConfigurationChange what, log::ServerId id) {
+  const auto propose_change = [&](log::ConfigurationChange what, log::ServerId id) {
     HandleEvent(g, log::ChangeConfiguration{++last_request_id_, what, id});
     SendServers(g);
   };
   for (const auto& lag : g.log->Followers()) {
-    const bool learns = std::binary_search(servers.learners.begin(), servers.learners.end(), lag.server);
-    if (learns && lag.match_index >= g.log->commit_index())
-      return change(log::ConfigurationChange::kPromote, lag.server);
+    const bool is_learner = std::binary_search(servers.learners.begin(), servers.learners.end(), lag.server);
+    if (is_learner && lag.match_index >= g.log->commit_index())
+      return propose_change(log::ConfigurationChange::kPromote, lag.server);
   }
   for (const log::ServerId id : g.accepted) {
     const bool in = std::binary_search(servers.voters.begin(), servers.voters.end(), id) ||
                     std::binary_search(servers.learners.begin(), servers.learners.end(), id);
     if (in) continue;
-    // Added once; one that is taken out later has to be asked again.
+    // An acceptance counts once: a server that is removed later has to be invited again.
     g.accepted.erase(id);
-    return change(log::ConfigurationChange::kAddLearner, id);
+    return propose_change(log::ConfigurationChange::kAddLearner, id);
   }
   if (members.empty()) return;
   std::vector<std::string> replicas;
   std::map<std::string, log::ServerId> by_name;
   for (const auto* ids : {&servers.voters, &servers.learners}) {
     for (const log::ServerId id : *ids) {
-      const auto who = g.servers.find(id);
-      const std::string member = who == g.servers.end() ? "?" + std::to_string(id) : who->second.first;
-      // A member with an older disk's server beside its new one: the older counts for nothing any more.
+      const auto server = g.servers.find(id);
+      const std::string member = server == g.servers.end() ? "?" + std::to_string(id) : server->second.first;
+      // The member has a server of a former disk beside its current one; only one of them is in use.
       if (by_name.contains(member))
-        return change(log::ConfigurationChange::kRemove, std::min(id, by_name[member]));
+        return propose_change(log::ConfigurationChange::kRemove, std::min(id, by_name[member]));
       replicas.push_back(member);
       by_name[member] = id;
     }
@@ -83,38 +84,40 @@
   for (const KnownMember& m : members) {
     if (!m.address.empty() || m.gone_since >= 0) candidates.push_back(m);
   }
-  const auto move =
-      NextChange(settings_.name, replicas, candidates, settings_.replicas, now, kPatience, false);
-  if (!move) return;
-  if (!move->remove.empty() && (move->add.empty() || static_cast<int>(replicas.size()) > settings_.replicas))
-    return change(log::ConfigurationChange::kRemove, by_name[move->remove]);
-  if (move->add.empty() || now - g.invite_sent_at < kSecond) return;
+  const auto replacement =
+      NextChange(settings_.name, replicas, candidates, settings_.replicas, now, kReplacementDelay, false);
+  if (!replacement) return;
+  if (!replacement->remove.empty() &&
+      (replacement->add.empty() || static_cast<int>(replicas.size()) > settings_.replicas))
+    return propose_change(log::ConfigurationChange::kRemove, by_name[replacement->remove]);
+  if (replacement->add.empty() || now - g.invite_sent_at < kSecond) return;
   g.invite_sent_at = now;
-  g.invited = move->add;
+  g.invited = replacement->add;
   Frame invite;
   invite.kind = Frame::Kind::kInvite;
   invite.group = g.name;
-  links_.Send(move->add, invite);
+  links_.Send(replacement->add, invite);
 }
 
 void ReplicaManager::SendServers(Group& g) {
   g.servers_sent_at = shared_.loop.Now();
-  Frame names;
-  names.kind = Frame::Kind::kServers;
-  names.group = g.name;
+  Frame frame;
+  frame.kind = Frame::Kind::kServers;
+  frame.group = g.name;
   std::set<std::string> to;
   for (const auto* ids : {&g.log->configuration().voters, &g.log->configuration().learners}) {
     for (const log::ServerId id : *ids) {
-      const auto who = g.servers.find(id);
-      if (who == g.servers.end()) continue;
-      names.servers[id] = who->second;
-      if (id != g.log->self()) to.insert(who->second.first);
+      const auto server = g.servers.find(id);
+      if (server == g.servers.end()) continue;
+      frame.servers[id] = server->second;
+      if (id != g.log->self()) to.insert(server->second.first);
     }
   }
-  for (const std::string& member : to) links_.Send(member, names);
+  for (const std::string& member : to) links_.Send(member, frame);
 }
 
-// By a thread of its own, from a moment's view of the store: neither the loop nor the writer waits for it.
+// Runs on a thread of its own and reads the store in one read transaction, so that neither the loop nor the
+// writer waits.
 void ReplicaManager::Compact(Group& g) {
   compacting_ = true;
   g.bytes_since_snapshot = 0;
@@ -122,10 +125,10 @@
     try {
       durable::SqliteStore store(settings, durable::SqliteStore::Use::kLook);
       const StoreContents contents = ReadContents(store);
-      const std::lock_guard hold(results_lock_);
+      const std::lock_guard lock(results_lock_);
       compacted_snapshots_.emplace_back(name, log::Compact{contents.applied.index, Encode(contents)});
     } catch (const durable::StoreError&) {
-      // The log grows on, and it is tried again when it has grown as much again.
+      // The log keeps growing; compaction is tried again when it has grown by the same amount.
       compact_failed_.store(true);
     }
     work_done_wakeup_.Ask();
--- a/src/cluster/copies/replica_manager.cpp
+++ b/src/cluster/copies/replica_manager.cpp
@@ -35,7 +35,7 @@
                         [this] {
                           std::vector<std::pair<std::string, log::Compact>> ready;
                           {
-                            const std::lock_guard hold(results_lock_);
+                            const std::lock_guard lock(results_lock_);
                             ready.swap(compacted_snapshots_);
                           }
                           if (!ready.empty() || compact_failed_.exchange(false)) {
@@ -68,9 +68,9 @@
 }
 
 log::ServerId ReplicaManager::NewServerId() {
-  const std::uint64_t numbers[] = {static_cast<std::uint64_t>(boot_time_), ++servers_made_};
-  const std::uint64_t of_name = XXH3_64bits(settings_.name.data(), settings_.name.size());
-  return XXH3_64bits_withSeed(numbers, sizeof numbers, of_name) >> 1 | 1;
+  const std::uint64_t numbers[] = {static_cast<std::uint64_t>(boot_time_), ++server_ids_created_};
+  const std::uint64_t name_hash = XXH3_64bits(settings_.name.data(), settings_.name.size());
+  return XXH3_64bits_withSeed(numbers, sizeof numbers, name_hash) >> 1 | 1;
 }
 
 ReplicaManager::Group* ReplicaManager::FindGroup(const std::string& name) {
@@ -78,14 +78,14 @@
   return it == groups_.end() ? nullptr : it->second.get();
 }
 
-ReplicaManager::Group& ReplicaManager::AddGroup(StoredGroup on_disk, bool stored) {
-  const std::string name = on_disk.group;
-  const log::ServerId self = on_disk.self;
-  log::PersistentState log = on_disk.log;
-  on_disk.servers[self] = {settings_.name, net::ToText(links_.address())};
-  for (const auto& [id, who] : on_disk.servers) links_.SetAddress(who.first, who.second);
-  if (!stored) replica_store_.Enqueue(name, on_disk);
-  auto group = std::make_unique<Group>(*this, std::move(on_disk));
+ReplicaManager::Group& ReplicaManager::AddGroup(StoredGroup state, bool stored) {
+  const std::string name = state.group;
+  const log::ServerId self = state.self;
+  log::PersistentState log = state.log;
+  state.servers[self] = {settings_.name, net::ToText(links_.address())};
+  for (const auto& [id, server] : state.servers) links_.SetAddress(server.first, server.second);
+  if (!stored) replica_store_.Enqueue(name, state);
+  auto group = std::make_unique<Group>(*this, std::move(state));
   Group& g = *group;
   g.stored = stored;
   g.log =
@@ -127,13 +127,13 @@
     if (!g.own) return;
     const auto contents = DecodeStoreContents(g.log->snapshot()->data);
     if (contents) g.last_epoch = contents->applied.life;
-    // Another has held it while this process stood still, and has made a snapshot since.
+    // Another process served the group while this one was paused, and has taken a snapshot since.
     if (g.channel) return StopServing(g);
     if (!contents || contents->applied.life != g.stored_epoch) return;
-    // This scheduler's own snapshot, and its disk has forgotten it.
+    // The snapshot is of this scheduler's own claim, and its disk has lost it.
     g.outdated = true;
     heronway::log::Event(heronway::log::Level::kError, "copies",
-                         {{"group", g.name}, {"fault", "this disk is older than the copies"}});
+                         {{"group", g.name}, {"fault", "this disk is older than the other replicas"}});
   } else if (auto* role = std::get_if<log::RoleChanged>(&effect)) {
     const auto leader = g.servers.find(role->leader);
     heronway::log::Event(heronway::log::Level::kInfo, "copies",
@@ -142,7 +142,7 @@
                           {"term", role->term},
                           {"leader", leader == g.servers.end() ? "unknown" : leader->second.first}});
   } else if (std::holds_alternative<log::Rejected>(effect)) {
-    if (g.channel) g.channel->Reject("this scheduler does not lead its copies now");
+    if (g.channel) g.channel->Reject("this scheduler does not lead the group");
   }
 }
 
@@ -160,7 +160,7 @@
       return HandleEvent(*g, log::Received{std::move(*message)});
     }
     case Frame::Kind::kInvite: {
-      // A member asks for copies of its own alone.
+      // A member may only invite to its own groups.
       if (OwnerOf(f.group) != from || from == settings_.name) return;
       if (g == nullptr) {
         const auto others =
@@ -170,16 +170,16 @@
         empty.group = f.group;
         empty.self = NewServerId();
         heronway::log::Event(heronway::log::Level::kInfo, "copies",
-                             {{"group", f.group}, {"state", "kept here"}});
+                             {{"group", f.group}, {"state", "replica created"}});
         AddGroup(std::move(empty), false);
-        return;  // answered when it is on disk
+        return;  // accepted in OnWritten(), when it is on disk
       }
       if (!g->stored) return;
-      Frame here;
-      here.kind = Frame::Kind::kAccept;
-      here.group = f.group;
-      here.server = g->log->self();
-      return links_.Send(from, here);
+      Frame accept;
+      accept.kind = Frame::Kind::kAccept;
+      accept.group = f.group;
+      accept.server = g->log->self();
+      return links_.Send(from, accept);
     }
     case Frame::Kind::kAccept:
       if (g == nullptr || !g->own || f.server == 0) return;
@@ -189,7 +189,7 @@
       return;
     case Frame::Kind::kServers:
       if (g == nullptr) return;
-      for (const auto& [id, who] : f.servers) LearnServer(*g, id, who.first, who.second);
+      for (const auto& [id, server] : f.servers) LearnServer(*g, id, server.first, server.second);
       return;
     case Frame::Kind::kRequest:
       return f.detail == kLookup ? OnQuery(from, f) : OnReport(from, f);
@@ -208,10 +208,10 @@
                                  const std::string& address) {
   if (id == g.log->self() || member.empty()) return;
   if (!address.empty()) links_.SetAddress(member, address);
-  auto& who = g.servers[id];
-  if (who.first == member && (address.empty() || who.second == address)) return;
-  who = {member, address.empty() ? who.second : address};
-  // Guards memory against servers that come and go: those of the group, and as many again.
+  auto& server = g.servers[id];
+  if (server.first == member && (address.empty() || server.second == address)) return;
+  server = {member, address.empty() ? server.second : address};
+  // Limits memory when servers come and go: room for the group's servers and as many former ones.
   while (g.servers.size() > 2 * log::kMaxServers) g.servers.erase(g.servers.begin());
   replica_store_.Enqueue(g.name, g.servers);
 }
@@ -226,17 +226,18 @@
     }
     g->stored = true;
     if (g->own) continue;
-    Frame here;
-    here.kind = Frame::Kind::kAccept;
-    here.group = g->name;
-    here.server = g->log->self();
-    links_.Send(OwnerOf(g->name), here);
+    Frame accept;
+    accept.kind = Frame::Kind::kAccept;
+    accept.group = g->name;
+    accept.server = g->log->self();
+    links_.Send(OwnerOf(g->name), accept);
   }
   std::string fault = replica_store_.fault();
   if (fault == fault_) return;
   fault_ = std::move(fault);
-  heronway::log::Event(fault_.empty() ? heronway::log::Level::kInfo : heronway::log::Level::kError, "copies",
-                       {{fault_.empty() ? "state" : "fault", fault_.empty() ? "written again" : fault_}});
+  heronway::log::Event(
+      fault_.empty() ? heronway::log::Level::kInfo : heronway::log::Level::kError, "copies",
+      {{fault_.empty() ? "state" : "fault", fault_.empty() ? "writing works again" : fault_}});
 }
 
 void ReplicaManager::ProposePending() {
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -1,6 +1,6 @@
-// The groups that a member keeps copies of, its own stores' among them: their logs on the loop, one file and
-// one connection a member for all. It decides nothing about what is committed (the logs do) nor who keeps
-// copies (placement does): it carries out their effects.
+// Runs the replicas at this member: the logs of its own groups and of the groups that it replicates for
+// others. All groups share one file and one connection to each member. The logs decide what is committed and
+// placement decides which members keep replicas; this class carries out their effects.
 #ifndef HERONWAY_CLUSTER_COPIES_REPLICA_MANAGER_H_
 #define HERONWAY_CLUSTER_COPIES_REPLICA_MANAGER_H_
 
@@ -24,11 +24,13 @@
 
 namespace heronway::cluster::copies {
 
-// A member as membership sees it, and where it listens for copies; empty: it keeps none.
+// A member as membership sees it, with the address at which it accepts replication connections. An empty
+// address means that it keeps no replicas.
 struct KnownMember : Candidate {
   std::string address;
 };
 
+// Runs on the loop's thread. Reading a store and taking its snapshot run on threads of their own.
 class ReplicaManager {
  public:
   struct Settings {
@@ -36,59 +38,63 @@
     int replicas = 3;
     net::Address listen{};
     std::map<std::string, net::Address> dial_addresses;
-    Micros takeover_delay = 0;   // after which a member that is gone has its jobs run by another; 0: never
-    bool expects_peers = false;  // members of the fleet are to be heard
-    std::string folder;          // of copies.db
+    // How long a member has to be gone before another runs its jobs, in microseconds; 0: never.
+    Micros takeover_delay = 0;
+    bool expects_peers = false;  // the settings name other members
+    std::string folder;          // that contains copies.db
     std::uint64_t seed = 1;
   };
-  static constexpr std::size_t kMaxGroups = 64;      // of others
-  static constexpr Micros kCheckInterval = 500'000;  // who should keep copies, and who is caught up
-  static constexpr Micros kPatience = 600'000'000;   // for a member that is gone, until it is replaced
+  static constexpr std::size_t kMaxGroups = 64;             // groups of other members that are kept here
+  static constexpr Micros kCheckInterval = 500'000;         // between checks of placement and progress
+  static constexpr Micros kReplacementDelay = 600'000'000;  // after which a gone member's replica is replaced
   static constexpr std::size_t kMinCompactBytes =
-      16 * 1024 * 1024;  // bytes of a log, at least, before a snapshot
+      16 * 1024 * 1024;  // The log grows by at least this many bytes before a snapshot is taken.
 
-  static constexpr Micros kDiscoveryTime = FormerReplicas::kDiscoveryTime;  // after a start, to hear of all
+  // after a start, to discover all members
+  static constexpr Micros kDiscoveryTime = FormerReplicas::kDiscoveryTime;
   static constexpr Micros kReleaseTimeout =
-      5'000'000;  // for what is in hand to end, before its owner has it back
+      5'000'000;  // How long jobs in progress may take to end before the group goes back to its owner.
 
-  // What is held for others goes to the fronts, and comes back. `own`: it is this scheduler's, which another
-  // held for a while.
+  // Callbacks by which a front takes over the jobs of a group and gives them up. `own` tells that the group
+  // is this scheduler's own and that another member served it in the meantime.
   struct FrontHooks {
     std::function<void(durable::Held)> serve;
     std::function<void(const std::string& group, const std::string& front, bool own)> stop;
-    // Nothing of it is in hand; from the first asking on nothing is begun.
+    // Whether no job of the group is in progress. The front starts none from the first call on.
     std::function<bool(const std::string& group, const std::string& front)> idle;
-    // A worker's word that reached another. `told`: whether it is stored. False: no such job is held here.
-    std::function<bool(const std::string& front, core::HopNews news, std::function<void(bool)> told)> report;
-    // Whether a job is known here; told perhaps within.
-    std::function<void(const std::string& front, const JobName& name, std::function<void(LookupResult)> told)>
+    // Handles a worker's report that another member received. `done` receives whether the report is stored.
+    // Returns false if the job is not known here.
+    std::function<bool(const std::string& front, core::HopNews news, std::function<void(bool)> done)> report;
+    // Looks a job up at this member. `done` may be called before this returns.
+    std::function<void(const std::string& front, const JobName& name, std::function<void(LookupResult)> done)>
         find;
   };
 
-  // Throws durable::StoreError and std::runtime_error as Disk and Links do.
+  // Throws durable::StoreError and std::runtime_error as ReplicaStore and Links do.
   ReplicaManager(net::Shared& shared, const Settings& settings);
   ~ReplicaManager();
   ReplicaManager(const ReplicaManager&) = delete;
   ReplicaManager& operator=(const ReplicaManager&) = delete;
 
   // For durable::Settings::copied. Runs the loop until this scheduler leads its group for the front and the
-  // store has all that is committed: with copies there already, that takes a majority of them.
+  // store has every committed entry. If the group already has replicas, this takes a majority of them.
   std::unique_ptr<durable::Store> OpenReplicatedStore(const std::string& front,
                                                       std::unique_ptr<durable::SqliteStore> store);
-  // Who is there, from membership; before it is given, nobody is asked to keep a copy.
+  // Sets the source of the members. Until it is set, no member is asked to keep a replica.
   void SetMemberSource(std::function<std::vector<KnownMember>()> members) {
     member_source_ = std::move(members);
   }
-  // Leads a worker's word to whoever holds its job, where this scheduler does not.
-  void ForwardReport(const std::string& front, const core::HopNews& news, ReportForwarder::Done told);
-  // Whether a job that this scheduler does not know is known to another, which may hold what this one took
-  // before it lost its disk. `told` is called once, within `patience` microseconds, perhaps at once.
-  void LookUpJob(const std::string& front, JobName name, Micros patience,
-                 std::function<void(LookupResult)> told);
+  // Forwards a worker's report of a job that this scheduler does not serve to the member that serves it.
+  void ForwardReport(const std::string& front, const core::HopNews& news, ReportForwarder::Done done);
+  // Asks the other members for a job that this scheduler does not know; one of them may serve what this one
+  // accepted before it lost its disk. `done` is called once, within `timeout` microseconds, possibly before
+  // this returns.
+  void LookUpJob(const std::string& front, JobName name, Micros timeout,
+                 std::function<void(LookupResult)> done);
   void SetFrontHooks(FrontHooks hooks) { front_hooks_ = std::move(hooks); }
   net::Address address() const { return links_.address(); }
   std::size_t unused_connections() const { return links_.unused_connections(); }
-  std::string StatusJson() const;  // GET /v1/copies: JSON
+  std::string StatusJson() const;  // body of GET /v1/copies
   std::vector<std::pair<std::string, std::uint64_t>> Counters() const;
 
  private:
@@ -116,20 +122,20 @@
   struct PendingLookup {
     std::string front;
     JobName name;
-    Micros until;
-    std::function<void(LookupResult)> told;
+    Micros deadline;
+    std::function<void(LookupResult)> done;
   };
-  struct OwnFront {  // what is led here for one front
+  struct OwnFront {  // this scheduler's own group for one front
     std::string group;
     FormerReplicas former;
-    bool no_former_replicas = false;  // as of the last look at the members
+    bool no_former_replicas = false;  // as of the last check of the members
   };
   bool TryLookup(PendingLookup& lookup);
   void RetryLookups();
   void QueryFormerReplicas();
   FormerReplicas::Plan MembersToQuery(const FormerReplicas& former);
   void SendQuery(const std::string& front, const JobName& name, const std::vector<std::string>& members,
-                 Micros patience, MemberQueries<JobReply>::Done told);
+                 Micros timeout, MemberQueries<JobReply>::Done done);
   void OnQuery(const std::string& from, const Frame& f);
   void OnReply(const std::string& from, const Frame& f);
   log::ServerId NewServerId();
@@ -142,14 +148,14 @@
   std::map<std::string, std::unique_ptr<Group>> groups_;
   net::Timer check_timer_;
   std::string fault_;
-  std::uint64_t servers_made_ = 0, last_request_id_ = 0, claims_ = 0, takeovers_ = 0;
+  std::uint64_t server_ids_created_ = 0, last_request_id_ = 0, claims_ = 0, takeovers_ = 0;
   FrontHooks front_hooks_;
   ReportForwarder report_forwarder_;
   std::uint64_t reports_forwarded_ = 0, reports_stored_ = 0, lookups_sent_ = 0, jobs_found_elsewhere_ = 0;
   std::map<std::string, OwnFront> own_fronts_;  // by front
   MemberQueries<JobReply> lookup_queries_;
-  std::list<PendingLookup> pending_lookups_;     // for members that are not heard yet
-  std::map<std::uint64_t, Frame> open_queries_;  // of the questions that are open, by number
+  std::list<PendingLookup> pending_lookups_;     // wait for members that cannot be queried yet
+  std::map<std::uint64_t, Frame> open_queries_;  // the frames of unanswered queries, by query id
   net::Timer lookup_retry_timer_;
   struct LoadTask {
     std::string group;
@@ -162,21 +168,22 @@
     std::string group, fault;
     std::uint64_t epoch = 0;
     durable::Held held;
-    std::unique_ptr<durable::SqliteStore> store;  // null: `fault` tells why
+    std::unique_ptr<durable::SqliteStore> store;  // null on failure, with the reason in `fault`
   };
   std::deque<LoadTask> load_queue_;
   std::vector<LoadResult> loaded_;
   std::thread loader_;
   std::atomic<bool> compact_failed_{false};
   std::mutex results_lock_;
-  std::vector<std::pair<std::string, log::Compact>> compacted_snapshots_;  // snapshots that were made
+  std::vector<std::pair<std::string, log::Compact>> compacted_snapshots_;  // by group name
   std::thread compactor_;
   std::atomic<bool> compacting_{false};
   Links links_;
-  ReplicaStore replica_store_;  // last: its thread ends before what it calls
+  // Last member: its thread has to end before the objects that it calls are destroyed.
+  ReplicaStore replica_store_;
 };
 
-// The name of a group, and its parts.
+// Builds the name of a group, OWNER/FRONT/CREATED_AT, and returns its parts (empty if it is not such a name).
 std::string GroupName(const std::string& owner, const std::string& front, Micros created_at);
 std::string OwnerOf(const std::string& group);
 std::string FrontOf(const std::string& group);
--- a/src/cluster/copies/replica_store.cpp
+++ b/src/cluster/copies/replica_store.cpp
@@ -58,14 +58,15 @@
   void PutSnapshot(const std::string& group, const log::Snapshot& snapshot);
 };
 
-ReplicaStore::ReplicaStore(const std::string& folder, std::function<void()> changed, bool read_only)
-    : impl_(std::make_unique<Impl>()), on_change_(std::move(changed)) {
+ReplicaStore::ReplicaStore(const std::string& folder, std::function<void()> on_change, bool read_only)
+    : impl_(std::make_unique<Impl>()), on_change_(std::move(on_change)) {
   impl_->file = FilePath(folder);
   if (!read_only) {
     impl_->lock = open((impl_->file + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
-    if (impl_->lock < 0) throw StoreError(StoreError::Kind::kDenied, impl_->file + ".lock: cannot be made");
+    if (impl_->lock < 0)
+      throw StoreError(StoreError::Kind::kDenied, impl_->file + ".lock: cannot be created");
     if (flock(impl_->lock, LOCK_EX | LOCK_NB) != 0)
-      throw StoreError(StoreError::Kind::kBusy, impl_->file + ": another program serves from it");
+      throw StoreError(StoreError::Kind::kBusy, impl_->file + ": another process serves from it");
   }
   try {
     const int flags = read_only ? SQLite::OPEN_READWRITE : SQLite::OPEN_READWRITE | SQLite::OPEN_CREATE;
@@ -88,9 +89,9 @@
       db.exec("PRAGMA user_version=" + std::to_string(kSchemaVersion));
       transaction.commit();
     } else if (version != kSchemaVersion) {
-      throw StoreError(StoreError::Kind::kCorrupt, impl_->file + ": it has version " +
-                                                       std::to_string(version) + ", this program " +
-                                                       std::to_string(kSchemaVersion));
+      throw StoreError(StoreError::Kind::kCorrupt,
+                       impl_->file + ": schema version " + std::to_string(version) +
+                           " is not supported; this program needs " + std::to_string(kSchemaVersion));
     }
   } catch (const SQLite::Exception& e) {
     throw StoreError(StoreError::Kind::kOther, impl_->file + ": opening: " + e.what());
@@ -100,7 +101,7 @@
 
 ReplicaStore::~ReplicaStore() {
   {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard lock(lock_);
     stopping_ = true;
     stop_deadline_ = Clock::now() + std::chrono::seconds(2);
   }
@@ -127,7 +128,7 @@
         const std::string body = groups.getColumn(5).getString();
         auto snapshot =
             Checksum(body) == groups.getColumn(4).getInt64() ? log::DecodeSnapshot(body) : std::nullopt;
-        if (!snapshot) throw corrupt("group " + g.group, "its snapshot cannot be read");
+        if (!snapshot) throw corrupt("group " + g.group, "the snapshot is corrupt");
         g.log.snapshot = std::make_shared<log::Snapshot>(std::move(*snapshot));
       }
       log::Index next = g.log.snapshot == nullptr ? 1 : g.log.snapshot->index + 1;
@@ -140,10 +141,10 @@
         const std::string place =
             "group " + g.group + ": entry " + std::to_string(entries.getColumn(0).getInt64());
         if (entries.getColumn(0).getInt64() != static_cast<std::int64_t>(next))
-          throw corrupt(place, "one is missing before it");
+          throw corrupt(place, "an entry before it is missing");
         auto entry =
             Checksum(body) == entries.getColumn(1).getInt64() ? log::DecodeEntry(body) : std::nullopt;
-        if (!entry) throw corrupt(place, "it cannot be read");
+        if (!entry) throw corrupt(place, "the entry is corrupt");
         g.log.entries.push_back(std::make_shared<log::Entry>(std::move(*entry)));
       }
       SQLite::Statement servers(*impl_->db, "SELECT id, member, at FROM servers WHERE grp=?");
@@ -161,34 +162,34 @@
 
 void ReplicaStore::Enqueue(const std::string& group, Change change) {
   {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard lock(lock_);
     pending_.push_back({group, std::move(change)});
   }
   wake_.notify_one();
 }
 
 std::vector<ReplicaStore::Completion> ReplicaStore::TakeCompletions() {
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(lock_);
   return std::exchange(completions_, {});
 }
 
 std::string ReplicaStore::fault() const {
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(lock_);
   return fault_;
 }
 
 std::uint64_t ReplicaStore::commits() const {
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(lock_);
   return commits_;
 }
 
-// In order, and nothing is passed over: a commit that fails is tried again until it goes through.
+// Writes changes in order and skips none: a commit that fails is retried until it succeeds.
 void ReplicaStore::Run() {
   std::vector<PendingWrite> ops;
   for (;;) {
     if (ops.empty()) {
-      std::unique_lock hold(lock_);
-      wake_.wait(hold, [this] { return !pending_.empty() || stopping_; });
+      std::unique_lock lock(lock_);
+      wake_.wait(lock, [this] { return !pending_.empty() || stopping_; });
       ops.swap(pending_);
       if (ops.empty()) return;
     }
@@ -198,7 +199,7 @@
     } catch (const SQLite::Exception& e) {
       fault = impl_->file + ": writing: " + e.what();
     }
-    std::unique_lock hold(lock_);
+    std::unique_lock lock(lock_);
     const bool changed = fault_ != fault;
     fault_ = fault;
     if (fault.empty()) {
@@ -210,12 +211,12 @@
       }
       ops.clear();
     }
-    hold.unlock();
+    lock.unlock();
     if (fault.empty() || changed) on_change_();
     if (fault.empty()) continue;
-    hold.lock();
+    lock.lock();
     if (stopping_ && Clock::now() > stop_deadline_) return;
-    wake_.wait_for(hold, kRetryDelay, [this] { return stopping_ && Clock::now() > stop_deadline_; });
+    wake_.wait_for(lock, kRetryDelay, [this] { return stopping_ && Clock::now() > stop_deadline_; });
   }
 }
 
@@ -273,9 +274,9 @@
 
 void ReplicaStore::Impl::Put(const std::string& group, const Servers& servers) {
   Execute("DELETE FROM servers WHERE grp=?", group);
-  for (const auto& [id, who] : servers)
-    Execute("INSERT INTO servers VALUES(?, ?, ?, ?)", group, static_cast<std::int64_t>(id), who.first,
-            who.second);
+  for (const auto& [id, server] : servers)
+    Execute("INSERT INTO servers VALUES(?, ?, ?, ?)", group, static_cast<std::int64_t>(id), server.first,
+            server.second);
 }
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/replica_store.h
+++ b/src/cluster/copies/replica_store.h
@@ -1,5 +1,5 @@
-// Where a member keeps its copies: one file for all groups, and a thread that puts whatever the groups have
-// asked for since into one synced commit.
+// The file in which a member keeps its replicas. One file serves all groups; a thread writes the changes that
+// have been queued since its last commit in one synced commit.
 #ifndef HERONWAY_CLUSTER_COPIES_REPLICA_STORE_H_
 #define HERONWAY_CLUSTER_COPIES_REPLICA_STORE_H_
 
@@ -17,7 +17,7 @@
 
 namespace heronway::cluster::copies {
 
-// Which member each server of a group is, and where it listens.
+// The member of each server of a group, and the address at which it listens.
 using Servers = std::map<log::ServerId, std::pair<std::string, std::string>>;
 
 struct StoredGroup {
@@ -29,24 +29,27 @@
 
 class ReplicaStore {
  public:
-  // FOLDER/copies.db. Throws durable::StoreError: kBusy where another program serves from it, kCorrupt with
-  // the group and the entry at fault. `look`: for tools; nothing is written, whoever serves.
+  // Opens FOLDER/copies.db. Throws durable::StoreError: kBusy if another process serves from it, kCorrupt if
+  // its version is not known. `on_change` is called on the writer's thread after each commit and when fault()
+  // changes. `read_only` is for tools: nothing is written, and another process may be serving.
   ReplicaStore(const std::string& folder, std::function<void()> on_change, bool read_only = false);
-  ~ReplicaStore();  // what is handed over is written, for two seconds at the longest
+  ~ReplicaStore();  // writes the queued changes, for two seconds at most
   ReplicaStore(const ReplicaStore&) = delete;
   ReplicaStore& operator=(const ReplicaStore&) = delete;
 
-  std::vector<StoredGroup> Read();  // before anything is handed over
+  // Reads all groups, before the first Enqueue(). Throws durable::StoreError kCorrupt with the group and the
+  // entry.
+  std::vector<StoredGroup> Read();
   struct Drop {};
-  // A new group; a part of one; whose servers are whose; a group that is kept no longer.
+  // Creates a group, persists a part of its log, replaces its servers, or deletes the group.
   using Change = std::variant<StoredGroup, log::Persist, Servers, Drop>;
   void Enqueue(const std::string& group, Change change);
   struct Completion {
     std::string group;
-    std::uint64_t number;  // of the Persist; 0: the group was made
+    std::uint64_t number;  // of the log::Persist; 0: the group was created
   };
   std::vector<Completion> TakeCompletions();
-  std::string fault() const;  // of the last commit; empty: it went through
+  std::string fault() const;  // error of the last commit; empty if it succeeded
   std::uint64_t commits() const;
 
   static std::string FilePath(const std::string& folder) { return folder + "/copies.db"; }
--- a/src/cluster/copies/replicated_store.cpp
+++ b/src/cluster/copies/replicated_store.cpp
@@ -10,7 +10,7 @@
 
 void LogChannel::Propose(std::vector<std::string> data) {
   {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard lock(lock_);
     rejection_.clear();
     for (std::string& d : data) proposals_.push_back(std::move(d));
   }
@@ -19,27 +19,27 @@
 
 std::optional<LogChannel::Committed> LogChannel::WaitCommitted(std::chrono::milliseconds timeout,
                                                                std::string& reason) {
-  std::unique_lock hold(lock_);
-  changed_.wait_for(hold, timeout, [this] { return !committed_.empty() || !rejection_.empty() || closed_; });
+  std::unique_lock lock(lock_);
+  changed_.wait_for(lock, timeout, [this] { return !committed_.empty() || !rejection_.empty() || closed_; });
   if (!committed_.empty()) {
     Committed next = std::move(committed_.front());
     committed_.pop_front();
     return next;
   }
-  reason = closed_              ? "the program ends"
-           : rejection_.empty() ? "no majority of the copies has it in time"
+  reason = closed_              ? "the group is not served here any more"
+           : rejection_.empty() ? "no majority of the replicas stored it in time"
                                 : rejection_;
   return std::nullopt;
 }
 
 std::vector<std::string> LogChannel::TakeProposals() {
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(lock_);
   return std::exchange(proposals_, {});
 }
 
 void LogChannel::Deliver(log::Index index, std::string data) {
   {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard lock(lock_);
     committed_.push_back({index, std::move(data)});
   }
   changed_.notify_one();
@@ -47,7 +47,7 @@
 
 void LogChannel::Reject(const std::string& reason) {
   {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard lock(lock_);
     rejection_ = reason;
   }
   changed_.notify_one();
@@ -55,7 +55,7 @@
 
 void LogChannel::Close() {
   {
-    const std::lock_guard hold(lock_);
+    const std::lock_guard lock(lock_);
     closed_ = true;
   }
   changed_.notify_one();
@@ -73,8 +73,8 @@
   if (!records)
     throw StoreError(StoreError::Kind::kCorrupt,
                      "copies: entry " + std::to_string(entry.index) + " of the log cannot be read");
-  // Proposed twice, as its proposer did not know that it was committed, or by one that holds the group no
-  // more.
+  // A duplicate, proposed again because its proposer did not know that it was committed; or a proposal of a
+  // process that does not serve the group any more.
   if (!IsEffective(*batch, applied)) return false;
   const durable::Applied next{entry.index, batch->epoch, batch->number};
   store.AppendAt(*records, next);
@@ -82,10 +82,11 @@
   return true;
 }
 
-// Called again with the same records until it returns: what was cut into parts stays so, and what is
-// committed stays committed.
+// The caller repeats a failed call with the same records. The parts stay as they were cut, and parts that are
+// committed stay committed.
 void ReplicatedStore::Append(const std::vector<durable::Record>& records) {
-  if (superseded_) throw StoreError(StoreError::Kind::kOther, "copies: another has taken hold of them");
+  if (superseded_)
+    throw StoreError(StoreError::Kind::kOther, "copies: another process has taken the group over");
   if (pending_parts_.empty() && !committed_entry_) {
     std::vector<durable::Record> part;
     std::size_t bytes = 0;
@@ -112,10 +113,11 @@
       if (!committed_entry_) throw StoreError(StoreError::Kind::kOther, "copies: " + reason);
     }
     const auto batch = DecodeBatch(committed_entry_->data);
-    // From here on the log is another's: this store is left where it stands, to be caught up when it is held
-    // again.
+    // Another process has claimed the group: from here on its batches count. This store is left at its
+    // position, to be caught up when the group is claimed here again.
     superseded_ = batch && batch->number == 0 && batch->epoch != epoch_;
-    if (superseded_) throw StoreError(StoreError::Kind::kOther, "copies: another has taken hold of them");
+    if (superseded_)
+      throw StoreError(StoreError::Kind::kOther, "copies: another process has taken the group over");
     Apply(*store_, applied_, *committed_entry_);
     committed_entry_.reset();
     while (batch && batch->epoch == epoch_ && !pending_parts_.empty() &&
--- a/src/cluster/copies/replicated_store.h
+++ b/src/cluster/copies/replicated_store.h
@@ -1,5 +1,5 @@
-// A group that this scheduler holds, its own or one that it looks after, between the thread that writes and
-// the loop that runs the log: what is to be proposed goes one way, what is committed comes back.
+// A job store whose records go through a replicated log, and the channel between the store's writer thread
+// and the loop that runs the log: proposals go one way, committed entries come back.
 #ifndef HERONWAY_CLUSTER_COPIES_REPLICATED_STORE_H_
 #define HERONWAY_CLUSTER_COPIES_REPLICATED_STORE_H_
 
@@ -17,25 +17,27 @@
 
 namespace heronway::cluster::copies {
 
+// Connects the writer thread of one group's store, an own or a taken-over one, to the loop.
 class LogChannel {
  public:
   struct Committed {
     log::Index index = 0;
-    std::string data;  // an encoded Batch
+    std::string data;
   };
-  // `asked`: called from the writer's thread when something is to be proposed.
+  // `on_proposals` is called on the writer's thread when there is something to propose.
   explicit LogChannel(std::function<void()> on_proposals) : proposals_wakeup_(std::move(on_proposals)) {}
 
-  // ---- writer's thread
+  // Called on the writer's thread.
   void Propose(std::vector<std::string> data);
-  // Waits for the next that is committed. Nothing: not in time, or it cannot be now; `why` tells.
+  // Waits for the next committed entry. Returns nothing on a timeout, a rejection or after Close(), with the
+  // cause in `reason`.
   std::optional<Committed> WaitCommitted(std::chrono::milliseconds timeout, std::string& reason);
 
-  // ---- loop's thread
+  // Called on the loop's thread.
   std::vector<std::string> TakeProposals();
   void Deliver(log::Index index, std::string data);
-  void Reject(const std::string& reason);  // what was asked for is not in the log
-  void Close();                            // nothing more will come
+  void Reject(const std::string& reason);  // the proposals were not appended to the log
+  void Close();                            // no further entry will be delivered
 
  private:
   std::function<void()> proposals_wakeup_;
@@ -47,13 +49,15 @@
   bool closed_ = false;
 };
 
-// A front's store, of which copies are kept: a batch is stored when a majority of the copies has it on disk,
-// and then it is put here. After a crash this store may be behind: the log has the rest.
+// A front's store with replicas. A batch counts as stored when a majority of the replicas has it on disk;
+// only then is it applied to the local store. After a crash the local store may be behind; the log has the
+// rest.
 class ReplicatedStore : public durable::Store {
  public:
   static constexpr std::chrono::milliseconds kCommitTimeout{
-      1'000};                                               // for a majority, until it is told as a fault
-  static constexpr std::size_t kMaxPartBytes = 256 * 1024;  // bytes of an entry, a single record apart
+      1'000};  // How long to wait for a majority before the append fails.
+  // of an entry, unless it is a single larger record
+  static constexpr std::size_t kMaxPartBytes = 256 * 1024;
 
   ReplicatedStore(std::unique_ptr<durable::SqliteStore> store, std::shared_ptr<LogChannel> channel,
                   std::uint64_t epoch);
@@ -64,19 +68,20 @@
   std::uint64_t bytes() const override { return store_->bytes(); }
   std::uint64_t most_bytes() const override { return store_->most_bytes(); }
 
-  // Puts what was committed into a store that stands at `applied`. False: it was there already.
+  // Applies a committed entry to a store whose position is `applied`. Returns false if it has no effect: it
+  // was applied before, or its epoch is over.
   static bool Apply(durable::SqliteStore& store, durable::Applied& applied,
                     const LogChannel::Committed& entry);
 
  private:
   std::unique_ptr<durable::SqliteStore> store_;
   std::shared_ptr<LogChannel> channel_;
-  bool superseded_ = false;  // another has taken hold of the group
+  bool superseded_ = false;  // another process has claimed the group
   std::uint64_t epoch_, last_number_ = 0;
   durable::Applied applied_;
   std::deque<std::pair<std::uint64_t, std::string>>
-      pending_parts_;                                     // of the batch under way, not committed yet
-  std::optional<LogChannel::Committed> committed_entry_;  // committed, and not here yet
+      pending_parts_;  // Parts of the current batch that are not committed yet, by batch number.
+  std::optional<LogChannel::Committed> committed_entry_;  // committed, not applied to the store yet
 };
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/report_forwarder.cpp
+++ b/src/cluster/copies/report_forwarder.cpp
@@ -7,7 +7,7 @@
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr std::size_t kMaxIdBytes = 4096;  // bytes
+constexpr std::size_t kMaxIdBytes = 4096;
 
 }  // namespace
 
@@ -21,8 +21,8 @@
 
 std::optional<core::HopNews> DecodeReport(std::string_view bytes) {
   try {
-    const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    pack::ArrayReader in(whole.get(), 4);
+    const msgpack::object_handle root = msgpack::unpack(bytes.data(), bytes.size());
+    pack::ArrayReader in(root.get(), 4);
     core::HopNews news;
     news.id = in.Next().as<std::string>();
     news.from = in.Number<core::TargetId>(0, ~core::TargetId{0});
@@ -36,20 +36,21 @@
   }
 }
 
-std::uint64_t ReportForwarder::Start(const std::vector<std::string>& others, Done told) {
+std::uint64_t ReportForwarder::Start(const std::vector<std::string>& others, Done done) {
   if (others.empty() || queries_.full()) {
-    told(others.empty() ? ForwardOutcome::kUnknownJob : ForwardOutcome::kRetry);
+    done(others.empty() ? ForwardOutcome::kUnknownJob : ForwardOutcome::kRetry);
     return 0;
   }
-  return queries_.Start(
-      others, kPatience, [told = std::move(told)](MemberQueries<ForwardOutcome>::Outcome result) {
-        bool not_now = !result.unanswered.empty();  // whoever has not answered in time may have it
-        for (const auto& [member, outcome] : result.replies) {
-          if (outcome == ForwardOutcome::kStored) return told(outcome);
-          not_now |= outcome == ForwardOutcome::kRetry;
-        }
-        told(not_now ? ForwardOutcome::kRetry : ForwardOutcome::kUnknownJob);
-      });
+  return queries_.Start(others, kReplyTimeout,
+                        [done = std::move(done)](MemberQueries<ForwardOutcome>::Outcome result) {
+                          // a member that did not answer in time may have the job
+                          bool retry = !result.unanswered.empty();
+                          for (const auto& [member, outcome] : result.replies) {
+                            if (outcome == ForwardOutcome::kStored) return done(outcome);
+                            retry |= outcome == ForwardOutcome::kRetry;
+                          }
+                          done(retry ? ForwardOutcome::kRetry : ForwardOutcome::kUnknownJob);
+                        });
 }
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/report_forwarder.h
+++ b/src/cluster/copies/report_forwarder.h
@@ -1,6 +1,7 @@
-// Any door, for what workers say: an ACK, a FAIL or a call-back may reach a scheduler that does not hold the
-// job, because another has taken it over or given it back. The others are asked, one hop and never on from
-// there, and the one that holds the job takes the word. Who is asked and what is sent is its caller's.
+// Forwarding of workers' reports. An ACK, a FAIL or a call-back may reach a scheduler that does not serve the
+// job, because another has taken it over or given it back. The report is sent to the other members, which do
+// not forward it any further, and the one that serves the job stores it. The caller chooses the members and
+// sends the frames.
 #ifndef HERONWAY_CLUSTER_COPIES_REPORT_FORWARDER_H_
 #define HERONWAY_CLUSTER_COPIES_REPORT_FORWARDER_H_
 
@@ -16,26 +17,29 @@
 
 namespace heronway::cluster::copies {
 
-// What becomes of a word. kNobody: all were asked, and none has such a job. kNotNow: somebody could not be
-// asked, or a group that may have it has no holder at this moment: it should be said again.
+// The outcome of a forwarded report. kUnknownJob: all members answered and none has the job. kRetry: a member
+// did not answer, or no member serves a group that may have the job at this moment; the worker should report
+// again.
 enum class ForwardOutcome : std::uint8_t { kUnknownJob, kStored, kRetry };
 
-// A worker's word as it goes from member to member: id, target, news and result. `front` goes beside it.
+// A worker's report as sent between members: id, target, news and result. Its front is sent in the frame.
 std::string EncodeReport(const core::HopNews& news);
 std::optional<core::HopNews> DecodeReport(std::string_view bytes);
 
+// Tracks the reports that are being forwarded and decides the outcome of each.
 class ReportForwarder {
  public:
   static constexpr std::size_t kMaxOpen =
-      MemberQueries<ForwardOutcome>::kMaxOpen;                // more are answered kNotNow
-  static constexpr std::size_t kMaxResultBytes = 256 * 1024;  // bytes
-  static constexpr net::Micros kPatience = 1'500'000;         // a commit may take a second
+      MemberQueries<ForwardOutcome>::kMaxOpen;  // further reports end with kRetry
+  static constexpr std::size_t kMaxResultBytes = 256 * 1024;
+  static constexpr net::Micros kReplyTimeout = 1'500'000;  // a commit may take a second
   using Done = std::function<void(ForwardOutcome)>;
 
   explicit ReportForwarder(net::Loop& loop)
       : queries_(loop, [](const ForwardOutcome& outcome) { return outcome == ForwardOutcome::kStored; }) {}
-  // The number under which the others are to be asked; `told` is called once, perhaps within. 0: nobody is.
-  std::uint64_t Start(const std::vector<std::string>& others, Done told);
+  // Returns the number under which the report is to be sent to `others`, or 0 if it is not to be sent. `done`
+  // is called once, possibly before this returns.
+  std::uint64_t Start(const std::vector<std::string>& others, Done done);
   void OnReply(std::uint64_t number, const std::string& by, ForwardOutcome outcome) {
     queries_.OnReply(number, by, outcome);
   }
--- a/src/cluster/copies/report_forwarding.cpp
+++ b/src/cluster/copies/report_forwarding.cpp
@@ -1,4 +1,4 @@
-// Any door: what a worker says to a member that does not hold its job is led to the others.
+// Part of ReplicaManager: sends a worker's report of a job that is not served here to the other members.
 #include <algorithm>
 #include <utility>
 
@@ -7,30 +7,31 @@
 namespace heronway::cluster::copies {
 
 void ReplicaManager::ForwardReport(const std::string& front, const core::HopNews& news,
-                                   ReportForwarder::Done told) {
+                                   ReportForwarder::Done done) {
   std::vector<std::string> others;
-  // Guards against word that is thrown away while whoever holds its job is out of sight, and may be back.
-  bool lately_gone = false;
+  // A member that has gone recently may serve the job and come back: the report must not be dropped
+  // meanwhile.
+  bool recently_gone = false;
   for (const KnownMember& m : member_source_ ? member_source_() : std::vector<KnownMember>{}) {
-    lately_gone |= m.gone_since >= 0 && shared_.loop.Now() - m.gone_since < kDiscoveryTime;
+    recently_gone |= m.gone_since >= 0 && shared_.loop.Now() - m.gone_since < kDiscoveryTime;
     if (m.name != settings_.name && !m.address.empty() && m.gone_since < 0 &&
         others.size() < Links::kMaxOutbound)
       others.push_back(m.name);
   }
-  if (news.result.size() > ReportForwarder::kMaxResultBytes) return told(ForwardOutcome::kUnknownJob);
+  if (news.result.size() > ReportForwarder::kMaxResultBytes) return done(ForwardOutcome::kUnknownJob);
   Frame f;
   f.kind = Frame::Kind::kRequest;
   f.group = front;
   f.message = EncodeReport(news);
-  f.server = report_forwarder_.Start(others, [told = std::move(told), lately_gone](ForwardOutcome outcome) {
-    told(outcome == ForwardOutcome::kUnknownJob && lately_gone ? ForwardOutcome::kRetry : outcome);
+  f.server = report_forwarder_.Start(others, [done = std::move(done), recently_gone](ForwardOutcome outcome) {
+    done(outcome == ForwardOutcome::kUnknownJob && recently_gone ? ForwardOutcome::kRetry : outcome);
   });
   if (f.server == 0) return;
   ++reports_forwarded_;
   for (const std::string& to : others) links_.Send(to, f);
 }
 
-// Answered from here alone: what is not held here is led nowhere else.
+// Answers from this member's own state only: a forwarded report is not forwarded again.
 void ReplicaManager::OnReport(const std::string& from, const Frame& f) {
   auto news = DecodeReport(f.message);
   if (!news) {
@@ -38,24 +39,24 @@
     return;
   }
   const auto answer = [this, from, number = f.server](const char* what) {
-    Frame outcome;
-    outcome.kind = Frame::Kind::kReply;
-    outcome.server = number;
-    outcome.detail = what;
-    links_.Send(from, outcome);
+    Frame reply;
+    reply.kind = Frame::Kind::kReply;
+    reply.server = number;
+    reply.detail = what;
+    links_.Send(from, reply);
   };
-  const auto told = [this, answer](bool stored) {
+  const auto done = [this, answer](bool stored) {
     reports_stored_ += stored ? 1 : 0;
     answer(stored ? "taken" : "again");
   };
-  if (front_hooks_.report && front_hooks_.report(f.group, std::move(*news), told)) return;
-  // A group that nobody leads now, or that is led here and not held yet, may have it.
-  const bool limbo = std::any_of(groups_.begin(), groups_.end(), [&f](const auto& p) {
+  if (front_hooks_.report && front_hooks_.report(f.group, std::move(*news), done)) return;
+  // A group without a leader, or one that is led here and not served yet, may have the job.
+  const bool may_have_job = std::any_of(groups_.begin(), groups_.end(), [&f](const auto& p) {
     const Group& g = *p.second;
     const bool led = g.log->role() == log::Role::kLeader;
     return FrontOf(p.first) == f.group && (g.log->leader() == 0 || (led && (!g.channel || g.loading)));
   });
-  answer(limbo ? "again" : "nobody");
+  answer(may_have_job ? "again" : "nobody");
 }
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/status.cpp
+++ b/src/cluster/copies/status.cpp
@@ -1,4 +1,4 @@
-// What operators are shown of the copies.
+// Part of ReplicaManager: the console's JSON view and the counters. Their names are read by operators' tools.
 #include <json/writer.h>
 
 #include <map>
@@ -30,18 +30,18 @@
     v["held"] = g->channel != nullptr && !g->loading;
     v["snapshot"] = Json::UInt64(l.snapshot() == nullptr ? 0 : l.snapshot()->index);
     v["servers"] = Json::arrayValue;
-    std::map<log::ServerId, log::Log::FollowerStatus> lags;
-    for (const auto& lag : l.Followers()) lags.emplace(lag.server, lag);
+    std::map<log::ServerId, log::Log::FollowerStatus> followers;
+    for (const auto& follower : l.Followers()) followers.emplace(follower.server, follower);
     for (const auto* ids : {&l.configuration().voters, &l.configuration().learners}) {
       for (const log::ServerId id : *ids) {
         Json::Value s;
-        const auto who = g->servers.find(id);
-        s["member"] = who == g->servers.end() ? "" : who->second.first;
+        const auto server = g->servers.find(id);
+        s["member"] = server == g->servers.end() ? "" : server->second.first;
         s["server"] = Json::UInt64(id);
         s["votes"] = ids == &l.configuration().voters;
-        if (const auto lag = lags.find(id); lag != lags.end()) {
-          s["on_disk"] = Json::UInt64(lag->second.match_index);
-          s["heard_ms"] = Json::Int64((now - lag->second.last_contact) / 1000);
+        if (const auto follower = followers.find(id); follower != followers.end()) {
+          s["on_disk"] = Json::UInt64(follower->second.match_index);
+          s["heard_ms"] = Json::Int64((now - follower->second.last_contact) / 1000);
         } else if (id == l.self()) {
           s["on_disk"] = Json::UInt64(l.durable_index());
         }
--- a/src/cluster/copies/takeover.cpp
+++ b/src/cluster/copies/takeover.cpp
@@ -1,4 +1,5 @@
-// Who holds a group: its owner, or whoever looks after it while the owner is gone; and a front's own store.
+// Part of ReplicaManager: which process serves a group (its owner, or another member while the owner is
+// gone), and the opening of a front's own store.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -12,29 +13,30 @@
 
 namespace heronway::cluster::copies {
 
-// Asked for through the log, so that all agree on what counts from where on.
+// The claim goes through the log, so that all replicas agree on which batches count from which entry on.
 void ReplicaManager::ClaimGroup(Group& g) {
   const Micros now = shared_.loop.Now();
   if (g.channel || g.loading || g.outdated || (g.claim_pending && now - g.changed_at < 2 * kSecond)) return;
   g.claim_pending = true;
   g.changed_at = now;
   g.epoch = kFencedEpoch | static_cast<std::uint64_t>(boot_time_ + static_cast<Micros>(++claims_));
-  Batch take{g.epoch, 0, {}};
-  durable::Record broke;
-  broke.kind = durable::Kind::kClock;
-  broke.at = net::Loop::WallClock();
-  // Guards a keyed job's window: times of before are by another's clock, if another held it.
-  const bool others = !g.own || !g.opening || g.last_epoch != g.stored_epoch;
-  take.records = durable::Encode(others ? std::vector{broke} : std::vector<durable::Record>{});
+  Batch claim{g.epoch, 0, {}};
+  durable::Record clock_change;
+  clock_change.kind = durable::Kind::kClock;
+  clock_change.at = net::Loop::WallClock();
+  // If another process served the group, its times are by another clock: keyed jobs must not rely on them.
+  const bool other_clock = !g.own || !g.opening || g.last_epoch != g.stored_epoch;
+  claim.records = durable::Encode(other_clock ? std::vector{clock_change} : std::vector<durable::Record>{});
   log::Propose p;
   p.request_id = ++last_request_id_;
-  p.data = Encode(take);
+  p.data = Encode(claim);
   HandleEvent(g, std::move(p));
 }
 
-// Whether this entry takes hold of the group. They are small: of others nothing is decoded here.
+// Whether this entry claims the group; if so, applies the claim. Claims are small, so larger entries are not
+// decoded.
 bool ReplicaManager::ApplyIfClaim(Group& g, log::Index index, const std::string& data) {
-  constexpr std::size_t kMaxClaimBytes = 256;  // bytes
+  constexpr std::size_t kMaxClaimBytes = 256;
   if (data.size() > kMaxClaimBytes) return false;
   const auto batch = DecodeBatch(data);
   if (!batch) return false;
@@ -57,24 +59,24 @@
   if (g.channel) g.channel->Close();
   g.channel.reset();
   g.epoch = 0;
-  if (std::exchange(g.loading, false)) return;  // nobody has its jobs yet
+  if (std::exchange(g.loading, false)) return;  // no front has its jobs yet
   heronway::log::Event(heronway::log::Level::kWarn, "copies",
-                       {{"group", g.name}, {"state", "held by another now"}});
+                       {{"group", g.name}, {"state", "not served here any more"}});
   if (front_hooks_.stop) front_hooks_.stop(g.name, FrontOf(g.name), g.own);
 }
 
-// Reads what the log says up to the hold, by a thread of its own; the front is given the jobs then.
+// Reads the log up to the claim on a thread of its own; the front receives the jobs afterwards.
 void ReplicaManager::LoadJobs(Group& g) {
   g.loading = true;
   if (!g.own) {
-    const auto like = std::find_if(groups_.begin(), groups_.end(), [&g](const auto& p) {
+    const auto own_group = std::find_if(groups_.begin(), groups_.end(), [&g](const auto& p) {
       return p.second->own && FrontOf(p.first) == FrontOf(g.name);
     });
-    if (like == groups_.end()) return StopServing(g);  // that front is off here
+    if (own_group == groups_.end()) return StopServing(g);  // the front is not enabled here
     char name[40];
     std::snprintf(name, sizeof name, "/held-%016llx.db",
                   static_cast<unsigned long long>(XXH3_64bits(g.name.data(), g.name.size())));
-    g.store = like->second->store;
+    g.store = own_group->second->store;
     g.store.file = settings_.folder + name;
   }
   load_queue_.push_back({g.name, g.epoch, g.own, g.store, ReadLog(*g.log, 0, g.claim_index)});
@@ -89,7 +91,7 @@
     out.epoch = task.epoch;
     try {
       if (!task.own) {
-        // What is left of an earlier time counts for nothing: the log has everything.
+        // A file of an earlier takeover is not needed: the log has everything.
         for (const char* end : {"", "-wal", "-shm"}) std::remove((task.store.file + end).c_str());
       }
       auto store = std::make_unique<durable::SqliteStore>(task.store, durable::SqliteStore::Use::kServe);
@@ -101,7 +103,7 @@
     } catch (const std::exception& e) {
       out.fault = e.what();
     }
-    const std::lock_guard hold(results_lock_);
+    const std::lock_guard lock(results_lock_);
     loaded_.push_back(std::move(out));
     work_done_wakeup_.Ask();
   });
@@ -111,25 +113,27 @@
 void ReplicaManager::FinishLoads() {
   std::vector<LoadResult> results;
   {
-    const std::lock_guard hold(results_lock_);
+    const std::lock_guard lock(results_lock_);
     results.swap(loaded_);
   }
   if (results.empty()) return;
   loader_.join();
   for (LoadResult& r : results) {
     Group* g = FindGroup(r.group);
-    if (g == nullptr || !g->loading || g->epoch != r.epoch) continue;  // it was lost meanwhile
+    // It was claimed by another process meanwhile.
+    if (g == nullptr || !g->loading || g->epoch != r.epoch) continue;
     if (r.store == nullptr) {
       heronway::log::Event(heronway::log::Level::kError, "copies",
-                           {{"group", g->name}, {"fault", "cannot be held here: " + r.fault}});
+                           {{"group", g->name}, {"fault", "cannot take it over: " + r.fault}});
       StopServing(*g);
       continue;
     }
     g->loading = false;
     ++takeovers_;
-    heronway::log::Event(
-        heronway::log::Level::kWarn, "copies",
-        {{"group", g->name}, {"state", g->own ? "held again" : "taken over"}, {"jobs", r.held.jobs.size()}});
+    heronway::log::Event(heronway::log::Level::kWarn, "copies",
+                         {{"group", g->name},
+                          {"state", g->own ? "served by its owner again" : "taken over"},
+                          {"jobs", r.held.jobs.size()}});
     r.held.group = g->name;
     r.held.front = FrontOf(g->name);
     r.held.own = g->own;
@@ -139,7 +143,7 @@
   LoadNext();
 }
 
-// What is in hand is finished first, for a while; then it is nobody's here.
+// Returns true once the group is not served here any more. Jobs in progress get kReleaseTimeout to end.
 bool ReplicaManager::ReleaseGroup(Group& g) {
   if (!g.channel) return true;
   const Micros now = shared_.loop.Now();
@@ -150,40 +154,39 @@
   return true;
 }
 
-// ---- a front's own store
-
 std::unique_ptr<durable::Store> ReplicaManager::OpenReplicatedStore(
     const std::string& front, std::unique_ptr<durable::SqliteStore> store) {
   Group* g = nullptr;
-  for (auto& [name, group] : groups_) {  // the newest: names end with the time at which they were made
+  for (auto& [name, group] : groups_) {  // take the newest: names end with the creation time
     if (OwnerOf(name) == settings_.name && FrontOf(name) == front) g = group.get();
   }
-  const durable::Applied before = store->applied();
-  if (before.index == 0) g = nullptr;  // it was written without its log since, or comes from elsewhere
+  const durable::Applied stored_position = store->applied();
+  if (stored_position.index == 0)
+    g = nullptr;  // the store was written without its log since, or is a restored one
   const bool data_lost = g == nullptr;
   bool restored = false;
   if (g == nullptr) {
-    // What the store holds already is the group's first snapshot.
+    // The present contents of the store become the group's first snapshot.
     const StoreContents contents = ReadContents(*store);
     restored = !contents.jobs.empty();
-    StoredGroup made;
-    made.group = GroupName(settings_.name, front, boot_time_);
-    made.self = NewServerId();
+    StoredGroup new_group;
+    new_group.group = GroupName(settings_.name, front, boot_time_);
+    new_group.self = NewServerId();
     auto first = std::make_shared<log::Snapshot>();
     first->index = 1;
-    first->configuration.voters = {made.self};
+    first->configuration.voters = {new_group.self};
     first->data = Encode(contents);
-    made.log.snapshot = first;
+    new_group.log.snapshot = first;
     store->Refill(contents.clock_broke, contents.jobs, {1, 0, 0});
-    g = &AddGroup(std::move(made), false);
+    g = &AddGroup(std::move(new_group), false);
   }
   g->own = g->opening = true;
-  // What an operator has restored is here: nobody else is to run it, or to be asked for it.
+  // An operator has restored the jobs here: no other member may run them or be asked for them.
   if (settings_.takeover_delay > 0 && !restored)
     own_fronts_.insert_or_assign(front,
                                  OwnFront{g->name, FormerReplicas(settings_.name, data_lost, started_at_)});
   g->store = {store->file(), store->names(), store->classes(), 0};
-  g->stored_epoch = before.life;
+  g->stored_epoch = stored_position.life;
   if (g->last_epoch == 0 && g->log->snapshot() != nullptr) {
     if (const auto contents = DecodeStoreContents(g->log->snapshot()->data))
       g->last_epoch = contents->applied.life;
@@ -196,10 +199,10 @@
     if (shared_.loop.Now() - last_warning_at < 5 * kSecond) continue;
     last_warning_at = shared_.loop.Now();
     heronway::log::Event(heronway::log::Level::kWarn, "copies",
-                         {{"group", g->name}, {"state", "waits for a majority of its copies"}});
+                         {{"group", g->name}, {"state", "waiting for a majority of its replicas"}});
   }
   g->opening = false;
-  const durable::Applied applied = CatchUp(*store, ReadLog(*g->log, before.index, g->claim_index));
+  const durable::Applied applied = CatchUp(*store, ReadLog(*g->log, stored_position.index, g->claim_index));
   heronway::log::Event(heronway::log::Level::kInfo, "copies",
                        {{"group", g->name}, {"state", "led"}, {"applied", applied.index}});
   return std::make_unique<ReplicatedStore>(std::move(store), g->channel, g->epoch);
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -1,5 +1,5 @@
-// Copies without processes: frames, the file that keeps them, batches that are proposed twice, and a store
-// that is behind its log.
+// Replication without processes: frames, the replica store, batches that are proposed twice, and a store that
+// is behind its log.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -35,7 +35,7 @@
   ASSERT_EQ(got, done);
 }
 
-TEST(Frames, ComeBackWholeAndCutOnesAreNothing) {
+TEST(Frames, RoundTripAndTruncatedFramesAreRejected) {
   Frame f;
   f.kind = Frame::Kind::kServers;
   f.fleet = "f";
@@ -54,10 +54,10 @@
   EXPECT_EQ(back->servers, f.servers);
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(Decode(bytes.substr(0, n)).has_value()) << n;
   f.group = "s1/../17 \n";
-  EXPECT_FALSE(Decode(Encode(f).substr(kHeaderBytes)).has_value()) << "a blank and a line's end";
+  EXPECT_FALSE(Decode(Encode(f).substr(kHeaderBytes)).has_value()) << "a space and a line end";
 }
 
-TEST(Groups, NamesHaveTheirParts) {
+TEST(Groups, NamesSplitIntoTheirParts) {
   const std::string name = GroupName("s1", "faktory", 17);
   EXPECT_EQ(OwnerOf(name), "s1");
   EXPECT_EQ(FrontOf(name), "faktory");
@@ -65,7 +65,7 @@
   EXPECT_EQ(OwnerOf("a/b"), "");
 }
 
-TEST(ReplicaStore, KeepsVotesEntriesSnapshotsAndNames) {
+TEST(ReplicaStore, KeepsVotesEntriesSnapshotsAndServers) {
   Folder folder;
   {
     ReplicaStore disk(folder.path, [] {});
@@ -85,7 +85,7 @@
     disk.Enqueue(g.group, Servers{{77, {"s1", "10.0.0.1:1"}}});
     disk.Enqueue("s2/http/1", ReplicaStore::Drop{});
     Wait(disk, 5);
-    EXPECT_THROW(ReplicaStore(folder.path, [] {}), durable::StoreError) << "another serves from it";
+    EXPECT_THROW(ReplicaStore(folder.path, [] {}), durable::StoreError) << "the store is in use";
   }
   ReplicaStore disk(folder.path, [] {});
   const auto all = disk.Read();
@@ -99,8 +99,8 @@
   EXPECT_EQ(all[0].servers.at(77).first, "s1");
 }
 
-// A bit that turned, anywhere in an entry, is found and named; nothing is read past it.
-TEST(ReplicaStore, DamageIsNamed) {
+// A changed byte in an entry is detected, and the error names the entry; nothing after it is read.
+TEST(ReplicaStore, CorruptEntryIsNamed) {
   Folder folder;
   {
     ReplicaStore disk(folder.path, [] {});
@@ -140,7 +140,7 @@
 }
 std::size_t Jobs(durable::SqliteStore& store) { return ReadContents(store).jobs.size(); }
 
-TEST(ReplicatedStore, ABatchThatWasProposedTwiceCountsOnce) {
+TEST(ReplicatedStore, BatchProposedTwiceIsAppliedOnce) {
   Folder folder;
   durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
   durable::Applied applied = store.applied();
@@ -155,12 +155,12 @@
   durable::Applied again = store.applied();
   EXPECT_EQ(again.index, 4u);
   EXPECT_FALSE(ReplicatedStore::Apply(store, again, entry(5, 9, 2, "b"))) << "also after a restart";
-  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(6, 10, 1, "c"))) << "another life counts anew";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(6, 10, 1, "c"))) << "a new epoch counts from 1";
   EXPECT_EQ(Jobs(store), 3u);
 }
 
-// What a process proposed that held the group once and does not know that it holds it no more.
-TEST(ReplicatedStore, OnlyTheBatchesOfWhoeverHoldsTheGroupCount) {
+// Guards against late proposals of a process that does not know that another has claimed the group.
+TEST(ReplicatedStore, OnlyBatchesOfTheCurrentEpochCount) {
   Folder folder;
   durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
   durable::Applied applied = store.applied();
@@ -169,23 +169,23 @@
         number == 0 ? std::vector<durable::Record>{} : std::vector<durable::Record>{Taken(id)};
     return LogChannel::Committed{index, Encode(Batch{kFencedEpoch | life, number, durable::Encode(records)})};
   };
-  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "it has not taken hold";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "it has not claimed the group";
   EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(3, 9, 0, "")));
   EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(4, 9, 1, "a")));
-  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(5, 10, 0, ""))) << "another takes hold";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(5, 10, 0, ""))) << "another claims the group";
   EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(6, 9, 2, "b"))) << "late";
   durable::Applied again = store.applied();
   EXPECT_FALSE(ReplicatedStore::Apply(store, again, entry(6, 9, 2, "b"))) << "also after a restart";
   EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(7, 10, 1, "c")));
   EXPECT_FALSE(ReplicatedStore::Apply(store, again, entry(8, 10, 1, "c"))) << "twice";
-  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(9, 9, 0, ""))) << "and back";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(9, 9, 0, ""))) << "the first claims it again";
   EXPECT_TRUE(ReplicatedStore::Apply(store, again, entry(10, 9, 1, "d")));
   EXPECT_EQ(Jobs(store), 3u);
 }
 
-// A writer that finds in the log that another holds the group stores nothing more, whatever it is asked, and
-// leaves its store where it stands.
-TEST(ReplicatedStore, AWriterStopsWhereAnotherTakesHold) {
+// A writer that finds another process's claim in the log stores nothing more and leaves its store at its
+// position.
+TEST(ReplicatedStore, WriterStopsAtAnotherClaim) {
   Folder folder;
   auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
@@ -201,9 +201,8 @@
   EXPECT_EQ(inner_store->applied().index, 0u);
 }
 
-// The writer's side: what is refused is asked for again, with the same numbers; what is committed late
-// counts.
-TEST(ReplicatedStore, AnAppendThatFailsIsTheSameAppendAgain) {
+// The writer's side: a rejected batch is proposed again with the same numbers, and a late commit counts.
+TEST(ReplicatedStore, FailedAppendIsRepeatedWithTheSameNumbers) {
   Folder folder;
   auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
@@ -224,15 +223,15 @@
     while ((proposals = group->TakeProposals()).empty())
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     log::Index index = 5;
-    for (const std::string& data : proposals) group->Deliver(index++, data);  // of the first time
-    for (const std::string& data : proposals) group->Deliver(index++, data);  // and of this
+    for (const std::string& data : proposals) group->Deliver(index++, data);  // of the first proposal
+    for (const std::string& data : proposals) group->Deliver(index++, data);  // and of the second
   });
   store.Append(records);
   other.join();
   EXPECT_EQ(Jobs(*inner_store), 2u);
 }
 
-TEST(ReplicatedStore, ALargeBatchGoesInParts) {
+TEST(ReplicatedStore, LargeBatchIsSplit) {
   Folder folder;
   auto group = std::make_shared<LogChannel>([] {});
   ReplicatedStore store(std::make_unique<durable::SqliteStore>(
@@ -262,9 +261,9 @@
   EXPECT_LT(largest, kMaxFrameBytes / 2);
 }
 
-// A member by itself: it leads its group at once, finds it again, and begins another where its store was
-// written without the log in between.
-TEST(ReplicaManager, AStoreThatLeftItsLogBeginsAnotherGroup) {
+// A single member leads its group at once, finds it again after a restart, and creates another group if its
+// store was written without the log in between.
+TEST(ReplicaManager, StoreWrittenWithoutItsLogGetsANewGroup) {
   Folder folder;
   net::BufferPool pool(256);
   net::Loop loop;
@@ -290,13 +289,13 @@
   };
   open()->Append({Taken("before")});
   EXPECT_EQ(groups(), 1u);
-  EXPECT_EQ(groups(), 1u) << "the same again";
+  EXPECT_EQ(groups(), 1u) << "the same group again";
   {
     const auto store = open();
-    EXPECT_EQ(Jobs(*store), 1u) << "what it held is the group's beginning";
+    EXPECT_EQ(Jobs(*store), 1u) << "its contents are the first snapshot";
     store->LeaveLog();
   }
-  EXPECT_EQ(groups(), 2u) << "and the old one stays for whoever needs it";
+  EXPECT_EQ(groups(), 2u) << "the former group is kept";
 }
 
 }  // namespace
--- a/tests/cluster/job_lookup_test.cpp
+++ b/tests/cluster/job_lookup_test.cpp
@@ -1,4 +1,4 @@
-// Whether another has a job, without any others: what their answers come to, and who is asked.
+// Job lookup without processes: how replies are combined, and which members are queried.
 #include "src/cluster/copies/job_lookup.h"
 
 #include <gtest/gtest.h>
@@ -11,22 +11,24 @@
 constexpr Micros kSecond = 1'000'000;
 const std::string kFormer = "s4/faktory/1";
 
-TEST(Lookup, ACopyThatNobodyHoldsMayHaveTheJob) {
+TEST(Lookup, GroupThatNoMemberServesMayHaveTheJob) {
   Outcome outcome;
   outcome.replies = {{"s2", {LookupStatus::kUnknown, "", {kFormer}, {}}},
                      {"s3", {LookupStatus::kUnknown, "", {kFormer}, {}}}};
   EXPECT_EQ(CombineReplies(outcome, true).status, LookupStatus::kRetry);
   outcome.replies[0].second.served = {kFormer};
-  EXPECT_EQ(CombineReplies(outcome, true).status, LookupStatus::kUnknown) << "its holder does not know it";
+  EXPECT_EQ(CombineReplies(outcome, true).status, LookupStatus::kUnknown)
+      << "the member that serves it does not know the job";
   outcome.replies[1].second.status = LookupStatus::kRetry;
   EXPECT_EQ(CombineReplies(outcome, true).status, LookupStatus::kRetry);
   outcome.replies[0].second.status = LookupStatus::kDone;
   outcome.replies[0].second.result = "made";
-  EXPECT_EQ(CombineReplies(outcome, true).status, LookupStatus::kDone) << "whoever has it decides";
+  EXPECT_EQ(CombineReplies(outcome, true).status, LookupStatus::kDone)
+      << "the member that has the job decides";
   EXPECT_EQ(CombineReplies(outcome, true).result, "made");
 }
 
-TEST(Lookup, WhoeverIsSilentMayHaveTheJobWhereTheDiskIsLost) {
+TEST(Lookup, SilentMemberMayHaveTheJobAfterDiskLoss) {
   Outcome outcome;
   outcome.replies = {{"s2", {}}};
   outcome.unanswered = {"s3"};
@@ -34,7 +36,7 @@
   EXPECT_EQ(CombineReplies(outcome, false).status, LookupStatus::kUnknown);
 }
 
-TEST(Lookup, NobodyIsAskedTwiceWhoHasNoCopy) {
+TEST(Lookup, MemberWithoutReplicaIsNotQueriedAgain) {
   FormerReplicas former("s4", true, 0);
   const std::vector<Candidate> members{{"s2", "", -1}, {"s3", "", -1}, {"s4", "", -1}};
   EXPECT_EQ(former.MembersToQuery(1, members, false).query, (std::vector<std::string>{"s2", "s3"}));
@@ -43,20 +45,20 @@
   EXPECT_EQ(former.MembersToQuery(1, members, false).query, std::vector<std::string>{"s3"});
 }
 
-TEST(Lookup, ALostDiskWaitsAMinuteForMembersOutOfSight) {
+TEST(Lookup, AfterDiskLossWaitsAMinuteForGoneMembers) {
   FormerReplicas lost("s4", true, 0), kept("s4", false, 0);
   const std::vector<Candidate> gone{{"s2", "", 10 * kSecond}};
   EXPECT_TRUE(lost.MembersToQuery(11 * kSecond, gone, false).wait);
   EXPECT_FALSE(kept.MembersToQuery(11 * kSecond, gone, false).wait);
   EXPECT_FALSE(lost.MembersToQuery(71 * kSecond, gone, false).wait);
-  EXPECT_TRUE(lost.MembersToQuery(kSecond, {}, true).wait) << "nobody has been heard yet";
+  EXPECT_TRUE(lost.MembersToQuery(kSecond, {}, true).wait) << "no member is known yet";
   EXPECT_FALSE(lost.MembersToQuery(61 * kSecond, {}, true).wait);
-  EXPECT_FALSE(lost.MembersToQuery(kSecond, {}, false).wait) << "it is alone by its settings";
+  EXPECT_FALSE(lost.MembersToQuery(kSecond, {}, false).wait) << "its settings name no other member";
   kept.NoteReply("s2", true);
-  EXPECT_TRUE(kept.MembersToQuery(11 * kSecond, gone, false).wait) << "it is known to have copies";
+  EXPECT_TRUE(kept.MembersToQuery(11 * kSecond, gone, false).wait) << "s2 is known to have replicas";
 }
 
-TEST(Lookup, QuestionsAndAnswersComeBackWholeAndSpoiltOnesAreNothing) {
+TEST(Lookup, QueriesAndRepliesRoundTripAndTruncatedOnesAreRejected) {
   const std::string encoded_query = Encode(JobQuery{kFormer, {"save/k1", true}});
   const auto query = DecodeJobQuery(encoded_query);
   ASSERT_TRUE(query.has_value());
--- a/tests/cluster/placement_test.cpp
+++ b/tests/cluster/placement_test.cpp
@@ -1,4 +1,4 @@
-// Who keeps copies: spread, few to each, and moved seldom.
+// Placement of replicas: spread over zones, few for each member, rarely moved.
 #include "src/cluster/copies/placement.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return all;
 }
 
-TEST(Placement, TheOwnerFirstAndNoZoneTwiceWhileThereAreOthers) {
+TEST(Placement, OwnerIsFirstAndZonesAreDistinctWhilePossible) {
   const auto fleet = Fleet(30, 3);
   for (const Candidate& owner : fleet) {
     const auto at = ChooseReplicas(owner.name, fleet, 3);
@@ -30,11 +30,11 @@
           std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == name; })->zone);
     EXPECT_EQ(zones.size(), 3u);
   }
-  EXPECT_EQ(ChooseReplicas("s0", Fleet(30, 2), 5).size(), 5u) << "two zones for five copies";
-  EXPECT_EQ(ChooseReplicas("s0", Fleet(2, 1), 3).size(), 2u) << "no more than there are";
+  EXPECT_EQ(ChooseReplicas("s0", Fleet(30, 2), 5).size(), 5u) << "five replicas in two zones";
+  EXPECT_EQ(ChooseReplicas("s0", Fleet(2, 1), 3).size(), 2u) << "at most one for each member";
 }
 
-TEST(Placement, AMemberOfThreeHundredKeepsAFew) {
+TEST(Placement, EachOfThreeHundredMembersKeepsAFew) {
   const auto fleet = Fleet(300, 3);
   std::map<std::string, int> kept;
   for (const Candidate& owner : fleet) {
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(Placement, OneThatGoesMovesItsOwnCopiesAlone) {
+TEST(Placement, GoneMemberMovesOnlyItsOwnReplicas) {
   const auto fleet = Fleet(100, 4);
   auto less = fleet;
   less[17].gone_since = 0;
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(Placement, ARestartMovesNothingAndALostMemberIsReplaced) {
+TEST(Placement, RestartMovesNothingAndLostMemberIsReplaced) {
   auto fleet = Fleet(9, 3);
   const auto held = ChooseReplicas("s0", fleet, 3);
   const auto next = [&](const std::vector<std::string>& current, Micros now, bool balance = false) {
@@ -70,7 +70,7 @@
   EXPECT_FALSE(next(held, 0).has_value());
   auto lost = std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == held[1]; });
   lost->gone_since = 0;
-  EXPECT_FALSE(next(held, 9 * kMinute).has_value()) << "it may be back";
+  EXPECT_FALSE(next(held, 9 * kMinute).has_value()) << "it may come back";
   const auto move = next(held, 10 * kMinute);
   ASSERT_TRUE(move.has_value());
   EXPECT_EQ(move->remove, held[1]);
@@ -80,20 +80,20 @@
   const auto then = next(more, 11 * kMinute);
   ASSERT_TRUE(then.has_value());
   EXPECT_EQ(then->remove, held[1]);
-  EXPECT_TRUE(then->add.empty()) << "it was added already";
+  EXPECT_TRUE(then->add.empty()) << "its replacement was added already";
   std::erase(more, held[1]);
   EXPECT_FALSE(next(more, 12 * kMinute).has_value());
-  lost->gone_since = -1;  // back: its old place is better, and not worth a move by itself
+  lost->gone_since = -1;  // back: it is preferred, but no reason for a change without rebalancing
   EXPECT_FALSE(next(more, 13 * kMinute).has_value());
   const auto better = next(more, 13 * kMinute, true);
   ASSERT_TRUE(better.has_value());
   EXPECT_EQ(better->add, held[1]);
   EXPECT_FALSE(next({held[0], held[1], held[2], "s0"}, 13 * kMinute).has_value() &&
                next({held[0], held[1], held[2], "s0"}, 13 * kMinute)->remove == "s0")
-      << "never the owner's own";
+      << "the owner's own replica is never removed";
 }
 
-TEST(Placement, TooFewAreFilledUp) {
+TEST(Placement, MissingReplicasAreAdded) {
   const auto fleet = Fleet(9, 3);
   const auto move = NextChange("s0", {"s0"}, fleet, 3, 0, 10 * kMinute, false);
   ASSERT_TRUE(move.has_value());
--- a/tests/cluster/report_forwarder_test.cpp
+++ b/tests/cluster/report_forwarder_test.cpp
@@ -1,4 +1,4 @@
-// Word that is led to others, without any others: what becomes of it when they answer, or do not.
+// Outcomes of forwarded reports when members reply or stay silent, without processes.
 #include "src/cluster/copies/report_forwarder.h"
 
 #include <gtest/gtest.h>
@@ -20,15 +20,15 @@
   }
 };
 
-TEST(ReportForwarder, TheOneThatHoldsTheJobDecidesAndTheOthersMustAllSayNo) {
+TEST(ReportForwarder, StoredIsFinalAndUnknownNeedsAllMembers) {
   Forwarding a;
   const auto one = a.Ask({"s1", "s2"}), two = a.Ask({"s1", "s2"}), three = a.Ask({"s1", "s2"});
   a.forwarder.OnReply(one, "s1", ForwardOutcome::kUnknownJob);
-  EXPECT_TRUE(a.outcomes.empty()) << "the other may have it";
+  EXPECT_TRUE(a.outcomes.empty()) << "the other may have the job";
   a.forwarder.OnReply(one, "s1", ForwardOutcome::kUnknownJob);
-  EXPECT_TRUE(a.outcomes.empty()) << "said twice is said once";
+  EXPECT_TRUE(a.outcomes.empty()) << "a repeated reply counts once";
   a.forwarder.OnReply(one, "s3", ForwardOutcome::kStored);
-  EXPECT_TRUE(a.outcomes.empty()) << "it was not asked";
+  EXPECT_TRUE(a.outcomes.empty()) << "this member was not queried";
   a.forwarder.OnReply(one, "s2", ForwardOutcome::kUnknownJob);
   a.forwarder.OnReply(two, "s2", ForwardOutcome::kStored);
   a.forwarder.OnReply(two, "s1", ForwardOutcome::kUnknownJob);
@@ -39,22 +39,22 @@
   EXPECT_EQ(a.forwarder.open(), 0u);
 }
 
-TEST(ReportForwarder, WhoeverDoesNotAnswerMayHaveIt) {
+TEST(ReportForwarder, SilentMemberMayHaveTheJob) {
   Forwarding a;
   const auto one = a.Ask({"s1", "s2"});
   a.forwarder.OnReply(one, "s1", ForwardOutcome::kUnknownJob);
-  a.Run(ReportForwarder::kPatience - 300'000);
+  a.Run(ReportForwarder::kReplyTimeout - 300'000);
   EXPECT_TRUE(a.outcomes.empty());
   a.Ask({"s1"});
   a.Run(500'000);
   ASSERT_EQ(a.outcomes, std::vector<ForwardOutcome>{ForwardOutcome::kRetry});
   a.forwarder.OnReply(one, "s2", ForwardOutcome::kStored);
-  EXPECT_EQ(a.outcomes.size(), 1u) << "too late, and told once";
-  a.Run(ReportForwarder::kPatience);
-  EXPECT_EQ(a.outcomes.size(), 2u) << "each in its own time";
+  EXPECT_EQ(a.outcomes.size(), 1u) << "a late reply is ignored";
+  a.Run(ReportForwarder::kReplyTimeout);
+  EXPECT_EQ(a.outcomes.size(), 2u) << "each query has its own timeout";
 }
 
-TEST(ReportForwarder, AsksAreBoundedAndNobodyElseIsAnAnswer) {
+TEST(ReportForwarder, OpenReportsAreLimitedAndNoOtherMemberMeansUnknown) {
   Forwarding a;
   EXPECT_EQ(a.Ask({}), 0u);
   EXPECT_EQ(a.outcomes, std::vector<ForwardOutcome>{ForwardOutcome::kUnknownJob});
@@ -63,7 +63,7 @@
   EXPECT_EQ(a.outcomes.back(), ForwardOutcome::kRetry);
 }
 
-TEST(ReportForwarder, AWordComesBackWholeAndASpoiltOneIsNothing) {
+TEST(ReportForwarder, ReportRoundTripsAndTruncatedOnesAreRejected) {
   core::HopNews news;
   news.id = "job 1";
   news.from = ~core::TargetId{0};
