--- a/src/cluster/members_tool.cpp
+++ b/src/cluster/members_tool.cpp
@@ -39,19 +39,19 @@
   const timeval limit{3, 0};
   setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
   setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
-  const std::string call = http::WriteRequest(method, path, {{"Host", console}}, {});
+  const std::string call = http::FormatRequest(method, path, {{"Host", console}}, {});
   if (connect(fd, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
       send(fd, call.data(), call.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(call.size()))
     throw std::runtime_error("the console at " + console + " cannot be reached");
-  http::Reader reader(HTTP_RESPONSE, 4 * kMaxExchangeBytes);
+  http::MessageParser reader(HTTP_RESPONSE, 4 * kMaxExchangeBytes);
   char bytes[16 * 1024];
   for (;;) {
     const ssize_t n = recv(fd, bytes, sizeof bytes, 0);
     std::size_t used = 0;
-    const http::ReadState state =
-        n > 0 ? reader.Feed({bytes, static_cast<std::size_t>(n)}, used) : reader.AtEnd();
-    if (state == http::ReadState::kWhole) return reader.TakeWhole();
-    if (n <= 0 || state != http::ReadState::kMore)
+    const http::ParseState state =
+        n > 0 ? reader.Feed({bytes, static_cast<std::size_t>(n)}, used) : reader.FinishInput();
+    if (state == http::ParseState::kComplete) return reader.TakeMessage();
+    if (n <= 0 || state != http::ParseState::kIncomplete)
       throw std::runtime_error("the console at " + console + " did not answer");
   }
 }
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -76,7 +76,7 @@
     stream_->Close(net::Reason::kProtocol);
   if (!stream_ || !stream_->open()) {
     if (stream_) shared_.loop.Bury(std::move(stream_));
-    reader_ = std::make_unique<http::Reader>(HTTP_RESPONSE, kMostAnswer);
+    reader_ = std::make_unique<http::MessageParser>(HTTP_RESPONSE, kMostAnswer);
     stream_ =
         std::make_shared<net::Stream>(shared_, at_, kDialTimeout, "discovery " + net::ToText(at_), *this);
   }
@@ -85,17 +85,17 @@
     path.append("?from=").append(std::to_string(table_.generation()));
     path.append("&hold_ms=").append(std::to_string(hold / 1000));
   }
-  stream_->Write(http::WriteRequest("GET", path, {{"Host", net::ToText(at_)}}, {}));
+  stream_->Write(http::FormatRequest("GET", path, {{"Host", net::ToText(at_)}}, {}));
 }
 
 void Watch::OnData(std::string_view bytes) {
   if (answer_began_ == 0) answer_began_ = shared_.loop.Now();
   std::size_t used = 0;
   const auto state = reader_->Feed(bytes, used);
-  if (state == http::ReadState::kMore) return;
-  if (state != http::ReadState::kWhole || !calling_)
+  if (state == http::ParseState::kIncomplete) return;
+  if (state != http::ParseState::kComplete || !calling_)
     return Fail(Failure::kBadMessage, net::Reason::kBadMessage);
-  const http::Message answer = reader_->TakeWhole();
+  const http::Message answer = reader_->TakeMessage();
   const std::uint64_t from = table_.generation();
   if (answer.status != 200) {
     return Fail(Failure::kStatus, answer.keep_alive ? std::nullopt : std::optional(net::Reason::kAnswered));
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -79,7 +79,7 @@
   net::Address at_;
   std::function<void(core::RoutesChanged)> changed_;
   std::shared_ptr<net::Stream> stream_;
-  std::unique_ptr<http::Reader> reader_;
+  std::unique_ptr<http::MessageParser> reader_;
   net::Timer patience_, again_;
   std::minstd_rand random_;
   net::Timer expiry_;  // of the lease
--- a/src/fronts/console/console.cpp
+++ b/src/fronts/console/console.cpp
@@ -7,7 +7,7 @@
 struct Console::Caller : net::Stream::Owner {
   Caller(Console& owner, int fd, const net::Address& from)
       : console(owner),
-        reader(HTTP_REQUEST, kMostCall),
+        reader(HTTP_REQUEST, kMaxRequestBytes),
         timer(owner.shared_.loop,
               [this] {
                 console.Remove(*this, !answered           ? net::Reason::kSlowRequest
@@ -15,31 +15,31 @@
                                                           : net::Reason::kSlowReader);
               }),
         stream(owner.shared_, fd, "console " + net::ToText(from), *this) {
-    timer.Start(kCallTime);  // not started anew by what comes: a call sent byte by byte must not hold it
+    timer.Start(kRequestTime);  // not started anew by what comes: a call sent byte by byte must not hold it
   }
 
   void OnData(std::string_view bytes) override {
     if (answered) return;
     std::size_t used = 0;
-    const http::ReadState state = reader.Feed(bytes, used);
-    if (state == http::ReadState::kMore) return;
+    const http::ParseState state = reader.Feed(bytes, used);
+    if (state == http::ParseState::kIncomplete) return;
     answered = true;
-    Reply reply{400, "not a call\n"};
-    if (state == http::ReadState::kWhole) reply = console.handler_(reader.TakeWhole());
-    timer.Start(kCallTime);  // for the answer to be read
-    stream.Write(http::WriteAnswer(reply.status, false, {}, reply.body));
+    Response response{400, "not a call\n"};
+    if (state == http::ParseState::kComplete) response = console.handler_(reader.TakeMessage());
+    timer.Start(kRequestTime);  // for the answer to be read
+    stream.Write(http::FormatResponse(response.status, false, {}, response.body));
   }
   void OnSent() override {
     if (!answered) return;
     // Guards the answer against what came behind the call: a close over bytes that are not read resets the
     // connection. The caller ends it, or the timer does.
     stream.FinishWriting(net::Reason::kAnswered);
-    timer.Start(kCallTime);
+    timer.Start(kRequestTime);
   }
   void OnEnd(net::Reason reason) override { console.Remove(*this, reason); }
 
   Console& console;
-  http::Reader reader;
+  http::MessageParser reader;
   net::Timer timer;
   net::Stream stream;
   bool answered = false, gone = false;
@@ -59,7 +59,7 @@
 
 // Guards the console's budget: a newcomer ends the oldest caller, which has had the longest to say its call.
 bool Console::MakeRoom(bool must) {
-  if (!must && callers_.size() < kMostCallers) return true;
+  if (!must && callers_.size() < kMaxConnections) return true;
   if (callers_.empty()) return false;
   Remove(*callers_.front(), net::Reason::kMakeRoom);
   return true;
--- a/src/fronts/console/console.h
+++ b/src/fronts/console/console.h
@@ -1,4 +1,4 @@
-// The operators' console: a second address where staff ask for readiness and figures, and drain the
+// The operators' console: a second address where staff ask for readiness and metrics, and drain the
 // scheduler or take it back into service. HTTP/1.1, one call a connection. It answers from what is held,
 // at once, and decides nothing: the caller's `Handler` does, on the front and the reducer.
 #ifndef HERONWAY_FRONTS_CONSOLE_CONSOLE_H_
@@ -17,22 +17,24 @@
 
 using net::Micros;
 
-struct Reply {
+struct Response {
   unsigned status = 404;
   std::string body;
 };
 
 class Console {
  public:
-  using Handler = std::function<Reply(const http::Message& call)>;
+  using Handler = std::function<Response(const http::Message& call)>;
 
   // Descriptors that the console may hold at once, its listener left out; taken off the clients' share.
-  static constexpr std::size_t kMostCallers = 8;
-  std::size_t unused_connections() const { return kMostCallers - std::min(kMostCallers, callers_.size()); }
+  static constexpr std::size_t kMaxConnections = 8;
+  std::size_t unused_connections() const {
+    return kMaxConnections - std::min(kMaxConnections, callers_.size());
+  }
   // For a call to come in whole from connecting. Guards callers that connect and say nothing: a usual
   // caller waits 1 s for its answer, and does not wait for them.
-  static constexpr Micros kCallTime = 500'000;
-  static constexpr std::size_t kMostCall = 4 * 1024;  // head and body
+  static constexpr Micros kRequestTime = 500'000;
+  static constexpr std::size_t kMaxRequestBytes = 4 * 1024;  // head and body
 
   // Throws std::runtime_error where it cannot listen.
   Console(net::Shared& shared, const net::Address& at, Handler handler);
--- a/src/fronts/console/calls.cpp
+++ b/src/fronts/console/endpoints.cpp
@@ -1,8 +1,8 @@
-#include "src/fronts/console/calls.h"
+#include "src/fronts/console/endpoints.h"
 
 namespace heronway::console {
 
-std::string WriteFigures(const Figures& f) {
+std::string FormatMetrics(const Metrics& f) {
   std::string out;
   const auto line = [&out](const std::string& name, std::uint64_t value) {
     out += "app." + name + "=" + std::to_string(value) + "\n";
@@ -34,16 +34,16 @@
   return out;
 }
 
-Reply Answer(const http::Message& call, const Operations& operations) {
+Response HandleRequest(const http::Message& call, const Operations& operations) {
   const std::string path = call.target.substr(0, call.target.find('?'));
   const bool get = call.method == "GET", put = call.method == "PUT" || call.method == "POST";
   if (path == "/v1/readyz") {
     if (!get) return {405, "use GET\n"};
-    return operations.ready() ? Reply{200, "ready\n"} : Reply{503, "not ready\n"};
+    return operations.ready() ? Response{200, "ready\n"} : Response{503, "not ready\n"};
   }
   if (path == "/v1/metrics") {
     if (!get) return {405, "use GET\n"};
-    return {200, WriteFigures(operations.figures())};
+    return {200, FormatMetrics(operations.metrics())};
   }
   if (path == "/v1/scheduler/drain" || path == "/v1/scheduler/activate") {
     if (!put) return {405, "use PUT\n"};
@@ -58,7 +58,7 @@
   }
   if (path == "/v1/copies") {
     if (!operations.copies) return {404, "no copies are kept\n"};
-    return get ? Reply{200, operations.copies()} : Reply{405, "use GET\n"};
+    return get ? Response{200, operations.copies()} : Response{405, "use GET\n"};
   }
   if (path == "/v1/cluster/leave") {
     if (!put) return {405, "use PUT\n"};
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "src/fronts/faktory/connection.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 
 namespace heronway::faktory {
 namespace {
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "src/fronts/faktory/connection.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 #include "src/log/log.h"
 
 namespace heronway::faktory {
@@ -269,7 +269,7 @@
   if (judged.rate != nullptr) {
     ++turned_away_;
     return c.Send(
-        Error("SHED over the rate " + *judged.rate + "; come back in " + Seconds(judged.wait) + " s"));
+        Error("SHED over the rate " + *judged.rate + "; come back in " + FormatSeconds(judged.wait) + " s"));
   }
   if (judged.job_class >= 0) spec.job_class = judged.job_class;
   if (judged.key) spec.key = *judged.key;
@@ -389,7 +389,7 @@
   if (auto* off = std::get_if<core::CallOffHop>(&effect)) return Do(*off);
   if (auto* answer = std::get_if<core::Answer>(&effect)) return Do(*answer);
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
-    return LogStorm("faktory", storm->change, config_.classes);
+    return LogStormChange("faktory", storm->change, config_.classes);
   if (auto* resume = std::get_if<core::Resume>(&effect)) return Do(*resume);
   if (std::holds_alternative<core::Drained>(effect))
     driver_.WhenStored([this](bool) { drained_(); });  // replies that wait for the store go out first
@@ -499,7 +499,7 @@
     case core::AnswerKind::kServed:
       return Reply(job, Simple("OK"));
     case core::AnswerKind::kShed:
-      return Reply(job, Error(e.retry_after > 0 ? "SHED come back in " + Seconds(e.retry_after) + " s"
+      return Reply(job, Error(e.retry_after > 0 ? "SHED come back in " + FormatSeconds(e.retry_after) + " s"
                                                 : "SHED nothing was done; come back later"));
     case core::AnswerKind::kFailed:
     case core::AnswerKind::kRejected:
@@ -569,9 +569,9 @@
 }
 
 void Front::PrintCounters() const {
-  LogCounters("faktory", driver_.reducer());
-  LogStore("faktory", driver_);
-  LogInvariants("faktory", driver_.reducer().invariants());
+  LogRequestCounters("faktory", driver_.reducer());
+  LogDurableCounters("faktory", driver_);
+  LogInvariantViolations("faktory", driver_.reducer().invariants());
   log::Event(log::Level::kInfo, "counters",
              {{"front", "faktory", true},
               {"joined", joined_},
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "src/fronts/http/header_values.h"
 #include "src/fronts/http/ingress.h"
-#include "src/fronts/http/values.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 
 namespace heronway::http {
 namespace {
@@ -22,12 +22,12 @@
 // The request as it would go to a target: what is read again for a round after a restart.
 durable::Task Front::TaskOf(const Message& message, const pebblenotch::Request& request, std::string alias) {
   Headers headers;
-  for (const char* name : kPassedOn) {
+  for (const char* name : kForwardedHeaders) {
     if (const auto* value = message.Find(name)) headers.emplace_back(name, *value);
   }
   durable::Task task;
   task.job_class = request.job_class;
-  task.text = WriteRequest(message.method, message.target, headers, message.body);
+  task.text = FormatRequest(message.method, message.target, headers, message.body);
   task.alias = std::move(alias);
   task.key = request.key;
   task.priority = request.priority;
@@ -43,7 +43,7 @@
 bool Front::AnswerFromStore(Ingress& in, const std::string& id) {
   const durable::Job* job = reducer().keeper()->book().Find(id);
   if (job == nullptr) {
-    in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "shed\n");
+    in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "shed\n");
   } else if (job->state != durable::State::kAnswered) {
     return false;
   } else if (job->answer == durable::Answer::kDone) {
@@ -59,21 +59,21 @@
   if (!MayWait(in)) return;
   ++looking_up_;
   const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - shared_.loop.Now();
-  look_up_job_(alias, std::clamp<Micros>(left, 1, kLookUpTime),
-               [this, at = in.weak_from_this(), ticket = in.ticket, message = std::move(message),
-                arrived = std::move(arrived), alias](const cluster::copies::LookupResult& result) {
-                 --looking_up_;
-                 const auto client = at.lock();
-                 if (client == nullptr || client->left || client->ticket != ticket) return;
-                 client->ticket = 0;
-                 if (result.status != cluster::copies::LookupStatus::kUnknown)
-                   return AnswerFromElsewhere(*client, result);
-                 // It may have come meanwhile, from another client or another scheduler.
-                 if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
-                   return Join(*client, message, std::string(*job), arrived.request.job_class);
-                 if (reducer().Known(arrived.id)) return client->Answer(409, {}, "Req-Id is in use\n");
-                 Admit(*client, message, arrived, alias);
-               });
+  job_lookup_(alias, std::clamp<Micros>(left, 1, kLookUpTime),
+              [this, at = in.weak_from_this(), ticket = in.ticket, message = std::move(message),
+               arrived = std::move(arrived), alias](const cluster::copies::LookupResult& result) {
+                --looking_up_;
+                const auto client = at.lock();
+                if (client == nullptr || client->left || client->ticket != ticket) return;
+                client->ticket = 0;
+                if (result.status != cluster::copies::LookupStatus::kUnknown)
+                  return AnswerFromElsewhere(*client, result);
+                // It may have come meanwhile, from another client or another scheduler.
+                if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
+                  return Join(*client, message, std::string(*job), arrived.request.job_class);
+                if (reducer().Known(arrived.id)) return client->Answer(409, {}, "Req-Id is in use\n");
+                Admit(*client, message, arrived, alias);
+              });
 }
 
 void Front::AnswerFromElsewhere(Ingress& in, const cluster::copies::LookupResult& result) {
@@ -81,7 +81,7 @@
   ++joins_;
   if (result.status == LookupStatus::kDone) return in.Answer(200, {}, result.result);
   if (result.status == LookupStatus::kFailed) return in.Answer(502, {}, "failed\n");
-  in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}},
+  in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}},
             result.status == LookupStatus::kOpen ? "it is under way; come again by the same key\n"
                                                  : "another may have this job; come again by the same key\n");
 }
@@ -89,12 +89,12 @@
 void Front::Join(Ingress& in, const Message& message, const std::string& id, int job_class) {
   ++joins_;
   if (reducer().RefusesAll(shared_.loop.Now()))
-    return in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}},
+    return in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}},
                      "shutting down; come again by the same key\n");
   if (!MayHold()) return in.Answer(503, {{"Retry-After", "1"}}, "too many requests held\n");
   Micros patience = config_.module.settings.classes[static_cast<std::size_t>(job_class)].deadline;
   if (const auto* text = message.Find("Req-Deadline-Ms")) {
-    const auto ms = ReadNumber<std::int64_t>(*text);
+    const auto ms = ParseNumber<std::int64_t>(*text);
     if (ms && *ms > 0) patience = std::min(*ms, patience / 1000) * 1000;
   }
   in.ticket = ++last_ticket_;
@@ -123,7 +123,8 @@
 void Front::ComeAgain(std::map<core::Ticket, Joined>::iterator it) {
   Ingress& client = *it->second.from;
   Leave(it);
-  client.Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "it is under way; come again by the same key\n");
+  client.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}},
+                "it is under way; come again by the same key\n");
 }
 
 void Front::Leave(std::map<core::Ticket, Joined>::iterator it) {
@@ -158,7 +159,7 @@
 // must not fill the connections that clients need to be refused on: over the bound it is told to come again.
 bool Front::MayWait(Ingress& in) {
   if (InService() >= budget_.in_service) {
-    in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "too many call-backs wait; say it again\n");
+    in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "too many call-backs wait; say it again\n");
     return false;
   }
   in.ticket = ++last_ticket_;  // in service, until it is answered
@@ -172,7 +173,7 @@
         const auto client = at.lock();
         if (client == nullptr || client->left || client->ticket != ticket) return;
         if (stored) return client->Answer(200, {}, {});
-        client->Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "not stored yet; say it again\n");
+        client->Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "not stored yet; say it again\n");
       },
       home);
 }
@@ -180,22 +181,23 @@
 // One that nobody has is over and forgotten: its worker is told so as ever.
 void Front::LeadNews(Ingress& in, const core::HopNews& news) {
   if (!MayWait(in)) return;
-  lead_word_(news, [at = in.weak_from_this(), ticket = in.ticket](cluster::copies::ForwardOutcome outcome) {
+  forward_report_(news, [at = in.weak_from_this(),
+                         ticket = in.ticket](cluster::copies::ForwardOutcome outcome) {
     const auto client = at.lock();
     if (client == nullptr || client->left || client->ticket != ticket) return;
     if (outcome != cluster::copies::ForwardOutcome::kRetry) return client->Answer(200, {}, {});
-    client->Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "nobody holds it now; say it again\n");
+    client->Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "nobody holds it now; say it again\n");
   });
 }
 
 // A round without a client: what was stored goes out as it came.
 void Front::Do(core::Resume& e) {
   const durable::Job* job = reducer().keeper()->book().Find(e.id);
-  Reader reader(HTTP_REQUEST, kMostBody);
+  MessageParser reader(HTTP_REQUEST, kMaxBodyBytes);
   std::size_t used = 0;
-  if (job == nullptr || reader.Feed(job->text, used) != ReadState::kWhole)
+  if (job == nullptr || reader.Feed(job->text, used) != ParseState::kComplete)
     return driver_.Post(core::RoundVoid{e.id});
-  Message message = reader.TakeWhole();
+  Message message = reader.TakeMessage();
   core::Arrived arrived;
   arrived.round = true;
   arrived.id = e.id;
--- a/src/fronts/http/egress.cpp
+++ b/src/fronts/http/egress.cpp
@@ -10,7 +10,7 @@
       : egress(owner),
         target(to),
         at(address),
-        reader(HTTP_RESPONSE, kMostBody),
+        reader(HTTP_RESPONSE, kMaxBodyBytes),
         timer(owner.shared_.loop, [this] { OnTimer(); }),
         stream(owner.shared_, address, owner.limits_.dial_timeout, "egress " + net::ToText(address), *this) {}
 
@@ -33,31 +33,34 @@
   }
   void OnData(std::string_view bytes) override {
     std::size_t used = 0;
-    const ReadState state = reader.Feed(bytes, used);
+    const ParseState state = reader.Feed(bytes, used);
     if (call == 0) return egress.Remove(*this, net::Reason::kProtocol);  // nobody asked
-    if (state == ReadState::kMore) return;
-    if (state != ReadState::kWhole) return egress.Finish(*this, {Reply::Kind::kBroken, {}}, false);
-    Message answer = reader.TakeWhole();
+    if (state == ParseState::kIncomplete) return;
+    if (state != ParseState::kComplete)
+      return egress.Finish(*this, {CallResult::Kind::kConnectionLost, {}}, false);
+    Message answer = reader.TakeMessage();
     const bool reusable = answer.keep_alive && used == bytes.size() && stream.all_sent();
-    egress.Finish(*this, {Reply::Kind::kAnswered, std::move(answer)}, reusable);
+    egress.Finish(*this, {CallResult::Kind::kResponse, std::move(answer)}, reusable);
   }
   void OnEnd(net::Reason) override {
     if (stream.refused() && egress.dialled_) egress.dialled_(target, false);
     if (call != 0 && reused) egress.distrust_until_ = egress.shared_.loop.Now() + kDistrust;
     // Guards the line between "never ran" and "may have run": the last byte's leaving.
-    egress.Finish(*this, {gone_out() ? Reply::Kind::kBroken : Reply::Kind::kNeverSent, {}}, false);
+    egress.Finish(*this, {gone_out() ? CallResult::Kind::kConnectionLost : CallResult::Kind::kSendFailed, {}},
+                  false);
   }
   void OnTimer() {
     if (call == 0) return egress.Remove(*this, net::Reason::kIdle);
-    if (!departed) return egress.Finish(*this, {Reply::Kind::kWithdrawn, {}}, true);
-    egress.Finish(*this, {gone_out() ? Reply::Kind::kNoAnswer : Reply::Kind::kNeverSent, {}}, false);
+    if (!departed) return egress.Finish(*this, {CallResult::Kind::kWithdrawn, {}}, true);
+    egress.Finish(*this, {gone_out() ? CallResult::Kind::kTimedOut : CallResult::Kind::kSendFailed, {}},
+                  false);
   }
   bool gone_out() const { return departed && stream.all_sent(); }
 
   Egress& egress;
   core::TargetId target;
   net::Address at;
-  Reader reader;
+  MessageParser reader;
   net::Timer timer;  // sending, then waiting; or idling
   net::Stream stream;
   CallId call = 0;  // 0: idle
@@ -95,7 +98,7 @@
     auto timer = std::make_shared<std::unique_ptr<net::Timer>>();
     *timer = std::make_unique<net::Timer>(shared_.loop, [this, timer, done = std::move(done)] {
       auto keep = std::move(*timer);
-      done({Reply::Kind::kNoRoom, {}});
+      done({CallResult::Kind::kNoDescriptor, {}});
       shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(keep)));
     });
     (*timer)->Start(0);
@@ -140,7 +143,7 @@
   if (it->second->gone_out()) it->second->timer.Start(patience);
 }
 
-void Egress::Finish(Connection& c, Reply reply, bool reusable) {
+void Egress::Finish(Connection& c, CallResult result, bool reusable) {
   const CallId call = std::exchange(c.call, 0);
   Done done = std::move(c.done);
   c.done = nullptr;
@@ -152,13 +155,13 @@
     // a reset: the target's clock for it started a little before this one.
     c.timer.Start(limits_.conn_idle * 2 / 5);
   } else {
-    Remove(c, reply.kind == Reply::Kind::kAnswered    ? net::Reason::kAnswered
-              : reply.kind == Reply::Kind::kNoAnswer  ? net::Reason::kNoAnswer
-              : reply.kind == Reply::Kind::kNeverSent ? net::Reason::kConnectFailed
-              : reply.kind == Reply::Kind::kWithdrawn ? net::Reason::kCalledOff
-                                                      : net::Reason::kBadMessage);
+    Remove(c, result.kind == CallResult::Kind::kResponse     ? net::Reason::kAnswered
+              : result.kind == CallResult::Kind::kTimedOut   ? net::Reason::kNoAnswer
+              : result.kind == CallResult::Kind::kSendFailed ? net::Reason::kConnectFailed
+              : result.kind == CallResult::Kind::kWithdrawn  ? net::Reason::kCalledOff
+                                                             : net::Reason::kBadMessage);
   }
-  if (done) done(reply);
+  if (done) done(result);
 }
 
 void Egress::Remove(Connection& c, net::Reason reason) {
--- a/src/fronts/http/egress.h
+++ b/src/fronts/http/egress.h
@@ -20,16 +20,16 @@
 
 using net::Micros;
 
-struct Reply {
+struct CallResult {
   enum class Kind {
-    kAnswered,
-    kNeverSent,  // the connection never came up, or ended before the last byte had left
-    kNoRoom,     // there was no descriptor for it: that tells nothing of the target
-    kWithdrawn,  // it was not to be sent any more when it could leave, and was not
-    kBroken,     // it ended after that and before an answer
-    kNoAnswer    // the call's patience ran out
+    kResponse,
+    kSendFailed,      // the connection never came up, or ended before the last byte had left
+    kNoDescriptor,    // there was no descriptor for it: that tells nothing of the target
+    kWithdrawn,       // it was not to be sent any more when it could leave, and was not
+    kConnectionLost,  // it ended after that and before an answer
+    kTimedOut         // the call's patience ran out
   };
-  Kind kind = Kind::kNeverSent;
+  Kind kind = Kind::kSendFailed;
   Message message;
 };
 
@@ -41,7 +41,7 @@
     std::function<std::size_t()> lent = nullptr;  // that it may have beyond these at this moment
   };
   using CallId = std::uint64_t;
-  using Done = std::function<void(const Reply&)>;
+  using Done = std::function<void(const CallResult&)>;
   // Gives a request's bytes in the moment in which they can leave; nothing where it must not be sent any
   // more: while a connection comes up its target may have begun to drain, or its client may have gone.
   using Compose = std::function<std::optional<std::string>()>;
@@ -78,7 +78,7 @@
  private:
   struct Connection;
   void Begin(Connection& c, Compose compose, Micros patience, CallId id, Done done);
-  void Finish(Connection& c, Reply reply, bool reusable);
+  void Finish(Connection& c, CallResult result, bool reusable);
   void Remove(Connection& c, net::Reason reason);
   bool MakeRoom();
   void GiveBack();
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -13,9 +13,9 @@
 #include "src/cluster/net/node.h"
 #include "src/cluster/target_gossip/load_report.h"
 #include "src/fronts/console/console.h"
+#include "src/fronts/http/header_values.h"
 #include "src/fronts/http/ingress.h"
-#include "src/fronts/http/values.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 #include "src/log/log.h"
 
 namespace heronway::http {
@@ -31,10 +31,10 @@
 // Whether bytes behind a request can be the start of another. Where they cannot, the length that the request
 // gave was wrong, and so is what was read as its body.
 bool MayBegin(std::string_view bytes) {
-  Reader next(HTTP_REQUEST, kMostBody);
+  MessageParser next(HTTP_REQUEST, kMaxBodyBytes);
   std::size_t used = 0;
-  const ReadState state = next.Feed(bytes, used);
-  return state == ReadState::kMore || state == ReadState::kWhole;
+  const ParseState state = next.Feed(bytes, used);
+  return state == ParseState::kIncomplete || state == ParseState::kComplete;
 }
 
 // The name that reports on the sockets use for a value that the settings call otherwise.
@@ -50,11 +50,11 @@
 
 }  // namespace
 
-Budget BudgetOf(const config::Config& config, const config::Options& options, bool faktory) {
+Budget ComputeBudget(const config::Config& config, const config::Options& options, bool faktory) {
   const auto sockets = static_cast<std::size_t>(config.sockets);
   std::size_t others = 0;  // descriptors
   if (faktory) others += sockets / 10;
-  if (config.has_console) others += console::Console::kMostCallers + 1;
+  if (config.has_console) others += console::Console::kMaxConnections + 1;
   if (options.cluster.enabled) others += cluster::Node::kMaxDescriptors;
   if (options.cluster.copies > 1) others += cluster::copies::Links::kDescriptors;
   return Budget::From(sockets, static_cast<std::size_t>(config.memory_mb) * 1024 * 1024, others);
@@ -66,16 +66,17 @@
       config_(config),
       rules_(rules),
       drained_(std::move(drained)),
-      budget_(BudgetOf(config, options, faktory)),
+      budget_(ComputeBudget(config, options, faktory)),
       routes_(
           config.zones, config.kinds,
           [rules](const std::string& zone, const std::string& kind, const std::vector<std::string>& labels) {
             return rules != nullptr ? rules->GroupsOf(zone, kind, labels) : 0;
           }),
-      egress_(shared,
-              {config.dial_timeout, config.conn_idle, budget_.egress,
-               [this] { return budget_.LentToEgress(unused_elsewhere_ ? unused_elsewhere_() : 0); }},
-              [this](core::TargetId target, bool came_up) { Dialled(target, came_up); }),
+      egress_(
+          shared,
+          {config.dial_timeout, config.conn_idle, budget_.egress,
+           [this] { return budget_.BorrowableByEgress(unused_descriptors_ ? unused_descriptors_() : 0); }},
+          [this](core::TargetId target, bool came_up) { Dialled(target, came_up); }),
       driver_(
           shared.loop, config.module.settings, config.seed, kTakeLimit, options.limits,
           [this](core::Effect& e) { Execute(e); },
@@ -83,7 +84,7 @@
           "http"),
       watch_(shared, routes_, config.discovery, config.seed + 10, config.module.settings.stop_sending_within,
              [this](core::RoutesChanged change) {
-               TellFleetOf(change);
+               PublishObservations(change);
                driver_.Post(std::move(change));
              }),
       listener_(
@@ -108,7 +109,7 @@
   close_idle_.Start(reducer().stop_times().close_idle);
 }
 
-void Front::Cordon(bool on) {
+void Front::SetCordoned(bool on) {
   driver_.Post(core::Cordon{on});
   if (on)
     return close_idle_.Start(
@@ -125,7 +126,7 @@
              {{"front", "http", true},
               {"state", state},
               {"held", reducer().held()},
-              {"connections", ingress_count_},
+              {"connections", connection_count_},
               {"close_idle_ms", times.close_idle / 1000},
               {"answers_due_ms", times.answers_due / 1000},
               {"earliest_kill_ms", times.earliest_kill / 1000}});
@@ -138,7 +139,7 @@
   return all;
 }
 
-bool Front::Answering() const {
+bool Front::HasUnsentAnswers() const {
   if (looking_up_ > 0) return true;
   const auto& busy = ingress_[static_cast<std::size_t>(Stage::kBusy)];
   return std::any_of(busy.begin(), busy.end(), [](const auto& in) { return !in->stream.all_sent(); });
@@ -149,7 +150,7 @@
   return watch_.usable() && routes_.AnyReady() && !r.draining() && !r.cordoned() && !driver_.StoreFull();
 }
 
-std::size_t Front::Avoided() const {
+std::size_t Front::CountUnselectableTargets() const {
   const pebblenotch::Dispatcher& module = reducer().module();
   std::vector<bool> drawn;
   for (int c = 0; c < static_cast<int>(config_.classes.size()); ++c) {
@@ -168,7 +169,7 @@
   if (watch_.usable()) driver_.Post(std::move(change));
 }
 
-void Front::MoveDiscovery(const net::Address& at) { watch_.MoveTo(at); }
+void Front::SetDiscoveryAddress(const net::Address& at) { watch_.MoveTo(at); }
 
 // ---- ingress
 void Front::Accepted(int fd, const net::Address& from) {
@@ -176,7 +177,7 @@
   auto& places = At(Stage::kFresh);
   places.push_back(std::make_shared<Ingress>(*this, fd, from));
   places.back()->place = std::prev(places.end());
-  ++ingress_count_;
+  ++connection_count_;
   if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressCame{});
 }
 
@@ -197,7 +198,7 @@
 // way: it would lose its request for another that is no better. `must`: the process has no descriptor
 // left, whatever its budget.
 bool Front::MakeRoom(bool must) {
-  if (!must && ingress_count_ < budget_.ingress) return true;
+  if (!must && connection_count_ < budget_.ingress) return true;
   const auto long_there = [this](Stage stage) {
     const auto& places = At(stage);
     return !places.empty() && shared_.loop.Now() - places.front()->placed_at > kSilent;
@@ -228,7 +229,7 @@
   log::Event(log::Level::kWarn, "ingress",
              {{"front", "http", true},
               {"state", "full"},
-              {"connections", ingress_count_},
+              {"connections", connection_count_},
               {"most", budget_.ingress},
               {"requests", pending_.size() + joined_.size()},
               {"most_requests", budget_.requests},
@@ -327,7 +328,7 @@
     in.keep_alive = false;
     return in.Answer(503, {}, "not held here\n");
   }
-  const bool elsewhere = lead_word_ && known != kStates.end() && !reducer().Holds(news.id) &&
+  const bool elsewhere = forward_report_ && known != kStates.end() && !reducer().Holds(news.id) &&
                          reducer().keeper()->book().Find(news.id) == nullptr;
   if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
   if (known == kStates.end() || !from) return in.Answer(200, {}, {});
@@ -348,7 +349,7 @@
       if (load[name].isNumeric()) values[name] = load[name].asDouble();
     }
     news.report = ToReport(values);
-    TellFleetOf(news.from, news.report);
+    PublishObservations(news.from, news.report);
   }
   if (!durable()) {
     in.Answer(200, {}, {});
@@ -377,7 +378,7 @@
   in.timer.Stop();
   if (std::exchange(in.left, true)) return;
   incoming_bytes_ -= std::exchange(in.counted, 0);
-  --ingress_count_;
+  --connection_count_;
   auto& places = At(in.placed);
   shared_.loop.Bury(std::move(*in.place));
   places.erase(in.place);
@@ -403,14 +404,14 @@
   if (auto* probe = std::get_if<core::StartProbe>(&effect)) return Do(*probe);
   if (std::holds_alternative<core::SubscribeRoutes>(effect)) return watch_.Start();
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
-    return LogStorm("http", storm->change, config_.classes);
+    return LogStormChange("http", storm->change, config_.classes);
   if (auto* resume = std::get_if<core::Resume>(&effect)) return Do(*resume);
   if (auto* settled = std::get_if<core::Settled>(&effect)) return Do(*settled);
   if (std::holds_alternative<core::Drained>(effect)) LogStop("drained");
   if (std::holds_alternative<core::Drained>(effect)) driver_.WhenStored([this](bool) { drained_(); });
 }
 
-void Front::Hinted(const cluster::TargetAdvice& hint) {
+void Front::ApplyAdvice(const cluster::TargetAdvice& hint) {
   if (hint.kind == cluster::FactKind::kStarted) {
     // A start that lies ahead is nobody's sight: such a target would be cold for ever.
     if (hint.since > shared_.loop.Now() + kClocksMay) return;
@@ -433,30 +434,30 @@
   auto change = routes_.Started(target, now, {now, net::Loop::WallClock()});
   if (!change) return;
   log::Event(log::Level::kInfo, "restarted", {{"target", routes_.Find(target)->name, true}});
-  TellFleetOf(*change);
+  PublishObservations(*change);
   if (watch_.usable()) driver_.Post(std::move(*change));
 }
 
 // Of targets that started of late; the others' start is known to all.
-void Front::TellFleetOf(const core::RoutesChanged& change) {
-  if (!tell_fleet_) return;
+void Front::PublishObservations(const core::RoutesChanged& change) {
+  if (!observation_sink_) return;
   for (const auto& entry : change.entries) {
     if (entry.claimed_started_at > shared_.loop.Now() - config_.module.settings.slow_start_time)
-      tell_fleet_({cluster::FactKind::kStarted, entry.id, entry.claimed_started_at, false});
+      observation_sink_({cluster::FactKind::kStarted, entry.id, entry.claimed_started_at, false});
   }
 }
 
-void Front::TellFleetOf(core::TargetId target, core::Result result) {
-  if (!tell_fleet_) return;
+void Front::PublishObservations(core::TargetId target, core::Result result) {
+  if (!observation_sink_) return;
   const bool failing = result == core::Result::kConnectFailed || result == core::Result::kReset ||
                        result == core::Result::kTimeout;
   const bool answered =
       result == core::Result::kOk || result == core::Result::kError || result == core::Result::kFull;
-  if (failing || answered) tell_fleet_({cluster::FactKind::kFailing, target, 0, answered});
+  if (failing || answered) observation_sink_({cluster::FactKind::kFailing, target, 0, answered});
 }
 
-void Front::TellFleetOf(core::TargetId target, const std::optional<pebblenotch::Report>& report) {
-  if (tell_fleet_ && report) tell_fleet_(cluster::LoadObservation(target, *report));
+void Front::PublishObservations(core::TargetId target, const std::optional<pebblenotch::Report>& report) {
+  if (observation_sink_ && report) observation_sink_(cluster::LoadObservation(target, *report));
 }
 
 void Front::Do(core::Answer& e) {
@@ -468,13 +469,13 @@
   pending_.erase(it);
   if (from == nullptr) return;
   Ingress& in = *from;
-  LogAnswer(id, e.kind);
+  LogFinalAnswer(id, e.kind);
   switch (e.kind) {
     case core::AnswerKind::kServed:
       return in.Answer(200, {}, e.result);
     case core::AnswerKind::kShed: {
       Headers headers;
-      if (e.retry_after > 0) headers.emplace_back("Retry-After", Seconds(e.retry_after));
+      if (e.retry_after > 0) headers.emplace_back("Retry-After", FormatSeconds(e.retry_after));
       return in.Answer(503, headers, "shed\n");
     }
     case core::AnswerKind::kFailed:
@@ -485,7 +486,7 @@
 }
 
 std::optional<pebblenotch::Report> Front::ReadLoad(std::string_view text) const {
-  return ToReport(ReadPairs(text));
+  return ToReport(ParsePairs(text));
 }
 
 // Values under the settings' names or the sockets', in the settings' order.
@@ -503,16 +504,16 @@
   return pebblenotch::wire::ToReport(metrics, config_.module.fields);
 }
 
-void Front::PrintCounters() const {
-  LogCounters("http", driver_.reducer());
-  LogStore("http", driver_);
-  LogInvariants("http", invariants());
+void Front::LogStatistics() const {
+  LogRequestCounters("http", driver_.reducer());
+  LogDurableCounters("http", driver_);
+  LogInvariantViolations("http", invariants());
   log::Event(log::Level::kInfo, "counters",
              {{"front", "http", true},
               {"news", news_},
               {"turned_away", turned_away_},
               {"malformed", malformed_},
-              {"ingress", ingress_count_},
+              {"ingress", connection_count_},
               {"made_room", made_room_},
               {"longest_full_ms", longest_full_ / 1000},
               {"egress", egress_.connections()},
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -27,7 +27,7 @@
 
 // The front's part of the configured limits, beside the parts of the program that are on. Throws
 // std::runtime_error that names limits.sockets where too few descriptors are left.
-Budget BudgetOf(const config::Config& config, const config::Options& options, bool faktory);
+Budget ComputeBudget(const config::Config& config, const config::Options& options, bool faktory);
 
 class Front {
  public:
@@ -38,36 +38,39 @@
   ~Front();
   void Drain();
   // An operator's drain (`on`) or its end: no to /ready, idle clients closed, all else served as before.
-  void Cordon(bool on);
+  void SetCordoned(bool on);
   bool Ready() const;  // what /ready says
-  std::size_t Listed() const { return routes_.Listed(); }
-  std::size_t Avoided() const;  // listed as ready, and the module would draw none of them for any class
-  void MoveDiscovery(const net::Address& at);  // its list replaces the present one once it is there
+  std::size_t CountListedTargets() const { return routes_.Listed(); }
+  std::size_t CountUnselectableTargets()
+      const;  // listed as ready, and the module would draw none of them for any class
+  void SetDiscoveryAddress(const net::Address& at);  // its list replaces the present one once it is there
   void RulesChanged();
-  void PrintCounters() const;
+  void LogStatistics() const;
   const core::Reducer& reducer() const { return driver_.reducer(); }
   core::Invariants invariants() const;  // of the reducer and of the connections
   // The process is about to exit.
-  void CheckExit() { checks_.Check(core::Invariant::kAnsweredBeforeExit, reducer().held() == 0); }
-  bool Answering() const;                                     // an answer has not left whole
-  std::size_t connections() const { return ingress_count_; }  // of clients, and of targets that call back
+  void CheckBeforeExit() { checks_.Check(core::Invariant::kAnsweredBeforeExit, reducer().held() == 0); }
+  bool HasUnsentAnswers() const;  // an answer has not left whole
+  std::size_t connection_count() const {
+    return connection_count_;
+  }  // of clients, and of targets that call back
   net::Address address() const { return listener_.address(); }
-  void FleetSeen(const core::FleetSeen& seen) { driver_.Post(core::FleetSeen(seen)); }
+  void UpdateFleetView(const core::FleetSeen& seen) { driver_.Post(core::FleetSeen(seen)); }
   // Where word of a job that is not held here goes, where copies are kept.
-  using LeadWord = std::function<void(const core::HopNews&, cluster::copies::ReportForwarder::Done)>;
-  void LeadWords(LeadWord lead) { lead_word_ = std::move(lead); }
+  using ForwardReport = std::function<void(const core::HopNews&, cluster::copies::ReportForwarder::Done)>;
+  void SetReportForwarder(ForwardReport lead) { forward_report_ = std::move(lead); }
   // How many descriptors that other parts of the program may have they do not use now; egress may have some.
-  void LendDescriptors(std::function<std::size_t()> unused) { unused_elsewhere_ = std::move(unused); }
+  void SetUnusedDescriptors(std::function<std::size_t()> unused) { unused_descriptors_ = std::move(unused); }
   // Asks the other schedulers for a job by its client's key; told once, within `patience` microseconds.
-  using LookUpJob = std::function<void(const std::string& alias, Micros patience,
+  using JobLookup = std::function<void(const std::string& alias, Micros patience,
                                        std::function<void(cluster::copies::LookupResult)> told)>;
-  void LookUpJobs(LookUpJob look_up) { look_up_job_ = std::move(look_up); }
+  void SetJobLookup(JobLookup look_up) { job_lookup_ = std::move(look_up); }
   net::Driver& driver() { return driver_; }  // for jobs that come from another scheduler, and go there
   // The fleet's news of targets: what this front sees is told to `tell`, and others' word is looked into.
-  void TellFleet(std::function<void(const cluster::TargetObservation&)> tell) {
-    tell_fleet_ = std::move(tell);
+  void SetObservationSink(std::function<void(const cluster::TargetObservation&)> tell) {
+    observation_sink_ = std::move(tell);
   }
-  void Hinted(const cluster::TargetAdvice& hint);
+  void ApplyAdvice(const cluster::TargetAdvice& hint);
 
   // Bounds on what a poor link, or a bad client, may hold.
   static constexpr Micros kFirstRequestTime = 2'500'000;  // from connecting, for a first request to be whole
@@ -153,11 +156,11 @@
   void Do(core::Settled& e);
   bool MayLeave(core::Ticket ticket, core::TargetId target) const;
   std::string HopText(const Pending& pending, const net::Address& to, Micros until) const;
-  void HopReplied(core::Ticket ticket, int hop, core::TargetId target, const Reply& reply);
+  void HopReplied(core::Ticket ticket, int hop, core::TargetId target, const CallResult& result);
   void Dialled(core::TargetId target, bool came_up);
-  void TellFleetOf(const core::RoutesChanged& change);
-  void TellFleetOf(core::TargetId target, core::Result result);
-  void TellFleetOf(core::TargetId target, const std::optional<pebblenotch::Report>& report);
+  void PublishObservations(const core::RoutesChanged& change);
+  void PublishObservations(core::TargetId target, core::Result result);
+  void PublishObservations(core::TargetId target, const std::optional<pebblenotch::Report>& report);
   std::optional<pebblenotch::Report> ReadLoad(std::string_view text) const;
   std::optional<pebblenotch::Report> ToReport(const std::map<std::string, double>& values) const;
 
@@ -165,22 +168,22 @@
   const config::Config& config_;
   match::Service* rules_;
   std::function<void()> drained_;
-  std::function<void(const cluster::TargetObservation&)> tell_fleet_;  // null where the cluster is off
+  std::function<void(const cluster::TargetObservation&)> observation_sink_;  // null where the cluster is off
   Budget budget_;
   discovery::RouteTable routes_;
   discovery::UnheardRestarts restarts_;
   Egress egress_;
   net::Driver driver_;
-  std::function<std::size_t()> unused_elsewhere_;  // null: nothing is lent
-  LeadWord lead_word_;                             // null where no copies are kept
-  LookUpJob look_up_job_;                          // the same
-  std::size_t looking_up_ = 0;                     // clients whose jobs are looked for elsewhere
+  std::function<std::size_t()> unused_descriptors_;  // null: nothing is lent
+  ForwardReport forward_report_;                     // null where no copies are kept
+  JobLookup job_lookup_;                             // the same
+  std::size_t looking_up_ = 0;                       // clients whose jobs are looked for elsewhere
   discovery::Watch watch_;
   net::Listener listener_;
   net::Timer close_idle_;  // while draining
 
   std::array<Places, kStages> ingress_;
-  std::size_t ingress_count_ = 0;
+  std::size_t connection_count_ = 0;
   bool closing_ = false;            // draining, and clients are told to go elsewhere
   std::size_t incoming_bytes_ = 0;  // of messages that are not whole yet, and of what waits behind one
   std::unordered_map<core::Ticket, Pending> pending_;
--- a/src/fronts/http/values.h
+++ b/src/fronts/http/header_values.h
@@ -1,6 +1,6 @@
 // Values as headers and reports write them, and the headers that pass on to a target.
-#ifndef HERONWAY_FRONTS_HTTP_VALUES_H_
-#define HERONWAY_FRONTS_HTTP_VALUES_H_
+#ifndef HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
+#define HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
 
 #include <charconv>
 #include <cmath>
@@ -11,12 +11,12 @@
 
 namespace heronway::http {
 
-inline constexpr const char* kPassedOn[] = {"Idempotency-Key", "Req-Key", "Req-Extra", "Req-Retry",
-                                            "Content-Type"};
+inline constexpr const char* kForwardedHeaders[] = {"Idempotency-Key", "Req-Key", "Req-Extra", "Req-Retry",
+                                                    "Content-Type"};
 
 // The whole text as a number; nothing where it is none, or not finite.
 template <typename T>
-std::optional<T> ReadNumber(std::string_view text, int base = 10) {
+std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T value{};
   std::from_chars_result r{};
   if constexpr (std::is_floating_point_v<T>) {
@@ -30,7 +30,7 @@
 }
 
 // "a=1,b=2" to its pairs; what is not a number is passed over.
-inline std::map<std::string, double> ReadPairs(std::string_view text) {
+inline std::map<std::string, double> ParsePairs(std::string_view text) {
   std::map<std::string, double> out;
   while (!text.empty()) {
     const auto end = std::min(text.find(','), text.size());
@@ -39,7 +39,7 @@
     while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
     const auto eq = pair.find('=');
     if (eq == pair.npos) continue;
-    if (const auto value = ReadNumber<double>(pair.substr(eq + 1)))
+    if (const auto value = ParseNumber<double>(pair.substr(eq + 1)))
       out[std::string(pair.substr(0, eq))] = *value;
   }
   return out;
@@ -47,4 +47,4 @@
 
 }  // namespace heronway::http
 
-#endif  // HERONWAY_FRONTS_HTTP_VALUES_H_
+#endif  // HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
--- a/src/fronts/http/hops.cpp
+++ b/src/fronts/http/hops.cpp
@@ -2,8 +2,8 @@
 // probes.
 #include <utility>
 
+#include "src/fronts/http/header_values.h"
 #include "src/fronts/http/ingress.h"
-#include "src/fronts/http/values.h"
 #include "src/log/log.h"
 
 namespace heronway::http {
@@ -42,10 +42,10 @@
   const Micros left = std::max<Micros>(1, (until - shared_.loop.Now()) / 1000);
   Headers headers = {
       {"Host", net::ToText(to)}, {"Req-Id", pending.id}, {"Req-Deadline-Ms", std::to_string(left)}};
-  for (const char* name : kPassedOn) {
+  for (const char* name : kForwardedHeaders) {
     if (const auto* value = m.Find(name)) headers.emplace_back(name, *value);
   }
-  return WriteRequest(m.method, m.target, headers, m.body);
+  return FormatRequest(m.method, m.target, headers, m.body);
 }
 
 void Front::Do(core::SendHop& e) {
@@ -60,7 +60,7 @@
     LogHop(pending.id, hop, net::ToText(to), "sent");
     return HopText(pending, to, until);
   };
-  const auto done = [this, ticket = e.request, hop = e.hop, target = e.target](const Reply& r) {
+  const auto done = [this, ticket = e.request, hop = e.hop, target = e.target](const CallResult& r) {
     HopReplied(ticket, hop, target, r);
   };
   // Before the call, which may be over when it returns: a kept connection breaks as it is written to.
@@ -69,22 +69,22 @@
   if (const auto open = calls_.find({e.request, e.hop}); open != calls_.end()) open->second = call;
 }
 
-void Front::HopReplied(core::Ticket ticket, int hop, core::TargetId target, const Reply& reply) {
+void Front::HopReplied(core::Ticket ticket, int hop, core::TargetId target, const CallResult& result) {
   calls_.erase({ticket, hop});
-  const Message& answer = reply.message;
+  const Message& answer = result.message;
   const unsigned status = answer.status;
-  if (reply.kind == Reply::Kind::kNoAnswer) return;  // the hop was over long before
-  if (reply.kind == Reply::Kind::kAnswered && status == 202) {
+  if (result.kind == CallResult::Kind::kTimedOut) return;  // the hop was over long before
+  if (result.kind == CallResult::Kind::kResponse && status == 202) {
     ++taken_;
-    TellFleetOf(target, core::Result::kOk);
+    PublishObservations(target, core::Result::kOk);
     return driver_.Post(core::HopTaken{ticket, hop});  // what follows comes by call-back
   }
   core::HopEnded ended{ticket, hop, core::Result::kError, {}};
-  if (reply.kind == Reply::Kind::kNoRoom || reply.kind == Reply::Kind::kWithdrawn) {
+  if (result.kind == CallResult::Kind::kNoDescriptor || result.kind == CallResult::Kind::kWithdrawn) {
     ended.result = core::Result::kMoot;
-  } else if (reply.kind == Reply::Kind::kNeverSent) {
+  } else if (result.kind == CallResult::Kind::kSendFailed) {
     ended.result = core::Result::kConnectFailed;
-  } else if (reply.kind != Reply::Kind::kAnswered) {
+  } else if (result.kind != CallResult::Kind::kResponse) {
     ended.result = core::Result::kReset;
   } else {
     const auto* declined = answer.Find("Srv-Declined");
@@ -100,8 +100,8 @@
                                              "reset", "cancelled", "moot"};
     LogHop(it->second.id, hop, {}, kSteps[static_cast<int>(ended.result)]);
   }
-  if (ended.result != core::Result::kMoot) TellFleetOf(target, ended.result);
-  TellFleetOf(target, ended.report);
+  if (ended.result != core::Result::kMoot) PublishObservations(target, ended.result);
+  PublishObservations(target, ended.report);
   driver_.Post(std::move(ended));
 }
 
@@ -123,8 +123,8 @@
   const auto* route = routes_.Find(e.target);
   if (route == nullptr) return driver_.Post(told);
   egress_.Call(e.target, route->address,
-               Always(WriteRequest("DELETE", "/jobs/" + e.id, {{"Host", net::ToText(route->address)}}, {})),
-               kTellTimeout, true, [this, told](const Reply&) { driver_.Post(told); });
+               Always(FormatRequest("DELETE", "/jobs/" + e.id, {{"Host", net::ToText(route->address)}}, {})),
+               kTellTimeout, true, [this, told](const CallResult&) { driver_.Post(told); });
 }
 
 // Guards descriptors against a target that tells a hop's end by call-back and never answers the hop itself.
@@ -138,20 +138,21 @@
   if (route == nullptr) return;
   const Micros sent = shared_.loop.Now();
   egress_.Call(e.target, route->address,
-               Always(WriteRequest("GET", "/status/load", {{"Host", net::ToText(route->address)}}, {})),
-               kProbeTimeout, true, [this, target = e.target, sent](const Reply& reply) {
+               Always(FormatRequest("GET", "/status/load", {{"Host", net::ToText(route->address)}}, {})),
+               kProbeTimeout, true, [this, target = e.target, sent](const CallResult& result) {
                  core::ProbeEnded ended{target, core::Result::kOk, shared_.loop.Now() - sent, {}};
-                 if (reply.kind == Reply::Kind::kAnswered && reply.message.status == 200) {
-                   ended.report = ReadLoad(reply.message.body);
+                 if (result.kind == CallResult::Kind::kResponse && result.message.status == 200) {
+                   ended.report = ReadLoad(result.message.body);
                  } else {
-                   ended.result = reply.kind == Reply::Kind::kAnswered    ? core::Result::kError
-                                  : reply.kind == Reply::Kind::kNoRoom    ? core::Result::kMoot
-                                  : reply.kind == Reply::Kind::kNeverSent ? core::Result::kConnectFailed
-                                  : reply.kind == Reply::Kind::kNoAnswer  ? core::Result::kTimeout
-                                                                          : core::Result::kReset;
+                   ended.result = result.kind == CallResult::Kind::kResponse       ? core::Result::kError
+                                  : result.kind == CallResult::Kind::kNoDescriptor ? core::Result::kMoot
+                                  : result.kind == CallResult::Kind::kSendFailed
+                                      ? core::Result::kConnectFailed
+                                  : result.kind == CallResult::Kind::kTimedOut ? core::Result::kTimeout
+                                                                               : core::Result::kReset;
                  }
-                 if (ended.result != core::Result::kMoot) TellFleetOf(target, ended.result);
-                 TellFleetOf(target, ended.report);
+                 if (ended.result != core::Result::kMoot) PublishObservations(target, ended.result);
+                 PublishObservations(target, ended.report);
                  driver_.Post(std::move(ended));
                });
 }
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -21,7 +21,7 @@
 struct Front::Ingress : net::Stream::Owner, std::enable_shared_from_this<Front::Ingress> {
   Ingress(Front& owner, int fd, const net::Address& from)
       : front(owner),
-        reader(HTTP_REQUEST, kMostBody),
+        reader(HTTP_REQUEST, kMaxBodyBytes),
         timer(owner.shared_.loop, [this] { OnTimer(); }),
         stream(owner.shared_, fd, "ingress " + net::ToText(from), *this),
         since(owner.shared_.loop.Now()),
@@ -57,16 +57,16 @@
       }
       std::size_t used = 0;
       const bool fresh = !reader.begun();
-      const ReadState state = reader.Feed(bytes, used);
+      const ParseState state = reader.Feed(bytes, used);
       bytes.remove_prefix(std::min(used, bytes.size()));
-      if (state == ReadState::kWhole) {
+      if (state == ParseState::kComplete) {
         timer.Stop();
-        Message message = reader.TakeWhole();
+        Message message = reader.TakeMessage();
         keep_alive = message.keep_alive;
         whole = true;
         ahead.assign(bytes);  // served from the loop, once this one has its answer
         return front.Serve(*this, std::move(message), bytes);
-      } else if (state == ReadState::kMore) {
+      } else if (state == ParseState::kIncomplete) {
         if (whole && fresh && reader.begun()) timer.Start(kRequestTime);
         if (reader.head_done() && reader.message().expects_continue && !std::exchange(continued, true))
           stream.Write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -75,9 +75,9 @@
           return Spoilt(503, "too much is coming in\n");
         return;
       } else {
-        return Spoilt(state == ReadState::kBodyTooLarge   ? 413
-                      : state == ReadState::kHeadTooLarge ? 431
-                                                          : 400,
+        return Spoilt(state == ParseState::kBodyTooLarge   ? 413
+                      : state == ParseState::kHeadTooLarge ? 431
+                                                           : 400,
                       {});
       }
     }
@@ -104,7 +104,7 @@
     if (status / 100 == 4 || last) keep_alive = false;
     closing = !keep_alive;
     timer.Start(kReadTime);
-    stream.Write(WriteAnswer(status, keep_alive, headers, body));
+    stream.Write(FormatResponse(status, keep_alive, headers, body));
     if (stream.open()) front.Settle(*this);
   }
 
@@ -160,7 +160,7 @@
   }
 
   Front& front;
-  Reader reader;
+  MessageParser reader;
   net::Timer timer;  // idling, receiving, or being read; stopped while a request is in service
   net::Stream stream;
   Micros since;                     // when it connected
--- a/src/fronts/http/message.cpp
+++ b/src/fronts/http/message.cpp
@@ -27,12 +27,12 @@
   return sum;
 }
 
-Reader::Reader(http_parser_type type, std::size_t most_body) : most_body_(most_body) {
+MessageParser::MessageParser(http_parser_type type, std::size_t most_body) : most_body_(most_body) {
   http_parser_init(&parser_, type);
   parser_.data = this;
 }
 
-ReadState Reader::Feed(std::string_view bytes, std::size_t& used) {
+ParseState MessageParser::Feed(std::string_view bytes, std::size_t& used) {
   static const http_parser_settings settings = [] {
     http_parser_settings s;
     http_parser_settings_init(&s);
@@ -46,68 +46,68 @@
     return s;
   }();
   used = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
-  if (whole_) return ReadState::kWhole;
-  if (fault_ != ReadState::kMore) return fault_;
-  if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return ReadState::kMalformed;
-  if (parser_.upgrade != 0) return ReadState::kMalformed;
-  return ReadState::kMore;
+  if (whole_) return ParseState::kComplete;
+  if (fault_ != ParseState::kIncomplete) return fault_;
+  if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return ParseState::kMalformed;
+  if (parser_.upgrade != 0) return ParseState::kMalformed;
+  return ParseState::kIncomplete;
 }
 
-ReadState Reader::AtEnd() {
+ParseState MessageParser::FinishInput() {
   std::size_t used = 0;
   return Feed({}, used);
 }
 
-Message Reader::TakeWhole() {
+Message MessageParser::TakeMessage() {
   begun_ = head_done_ = whole_ = in_value_ = false;
   head_bytes_ = 0;
   if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) http_parser_pause(&parser_, 0);
   return std::exchange(message_, {});
 }
 
-void Reader::Drop() {
+void MessageParser::Drop() {
   begun_ = head_done_ = whole_ = false;
   message_ = {};
 }
 
-bool Reader::Count(std::size_t n) {
+bool MessageParser::Count(std::size_t n) {
   head_bytes_ += n;
-  if (head_bytes_ > kMostHead) fault_ = ReadState::kHeadTooLarge;
-  return head_bytes_ <= kMostHead;
+  if (head_bytes_ > kMaxHeadBytes) fault_ = ParseState::kHeadTooLarge;
+  return head_bytes_ <= kMaxHeadBytes;
 }
 
 namespace {
-Reader& Self(http_parser* p) { return *static_cast<Reader*>(p->data); }
+MessageParser& Self(http_parser* p) { return *static_cast<MessageParser*>(p->data); }
 }  // namespace
 
-int Reader::OnBegin(http_parser* p) {
+int MessageParser::OnBegin(http_parser* p) {
   Self(p).begun_ = true;
   return 0;
 }
 
-int Reader::OnUrl(http_parser* p, const char* at, std::size_t n) {
+int MessageParser::OnUrl(http_parser* p, const char* at, std::size_t n) {
   Self(p).message_.target.append(at, n);
   return Self(p).Count(n) ? 0 : 1;
 }
 
-int Reader::OnField(http_parser* p, const char* at, std::size_t n) {
-  Reader& r = Self(p);
+int MessageParser::OnField(http_parser* p, const char* at, std::size_t n) {
+  MessageParser& r = Self(p);
   if (r.head_done_) return r.Count(n) ? 0 : 1;  // a trailer: read over
   if (r.message_.headers.empty() || std::exchange(r.in_value_, false)) r.message_.headers.emplace_back();
   r.message_.headers.back().first.append(at, n);
   return r.Count(n + 4) ? 0 : 1;
 }
 
-int Reader::OnValue(http_parser* p, const char* at, std::size_t n) {
-  Reader& r = Self(p);
+int MessageParser::OnValue(http_parser* p, const char* at, std::size_t n) {
+  MessageParser& r = Self(p);
   if (r.head_done_) return r.Count(n) ? 0 : 1;
   r.in_value_ = true;
   r.message_.headers.back().second.append(at, n);
   return r.Count(n) ? 0 : 1;
 }
 
-int Reader::OnHeadDone(http_parser* p) {
-  Reader& r = Self(p);
+int MessageParser::OnHeadDone(http_parser* p) {
+  MessageParser& r = Self(p);
   r.head_done_ = true;
   r.message_.status = p->status_code;
   if (p->type == HTTP_REQUEST) {
@@ -118,32 +118,32 @@
     if (r.message_.Count("Content-Length") > 1 || r.message_.Count("Transfer-Encoding") > 1 ||
         (coding != nullptr &&
          (r.message_.Count("Content-Length") > 0 || strcasecmp(coding->c_str(), "chunked") != 0))) {
-      r.fault_ = ReadState::kMalformed;
+      r.fault_ = ParseState::kMalformed;
       return -1;
     }
     r.message_.expects_continue = expect != nullptr && strcasecmp(expect->c_str(), "100-continue") == 0;
   }
   if ((p->flags & F_CONTENTLENGTH) != 0 && p->content_length > r.most_body_) {
-    r.fault_ = ReadState::kBodyTooLarge;
+    r.fault_ = ParseState::kBodyTooLarge;
     return -1;
   }
   return 0;
 }
 
-int Reader::OnBody(http_parser* p, const char* at, std::size_t n) {
-  Reader& r = Self(p);
+int MessageParser::OnBody(http_parser* p, const char* at, std::size_t n) {
+  MessageParser& r = Self(p);
   if (r.message_.body.size() + n > r.most_body_) {
-    r.fault_ = ReadState::kBodyTooLarge;
+    r.fault_ = ParseState::kBodyTooLarge;
     return 1;
   }
   r.message_.body.append(at, n);
   return 0;
 }
 
-int Reader::OnWhole(http_parser* p) {
-  Reader& r = Self(p);
+int MessageParser::OnWhole(http_parser* p) {
+  MessageParser& r = Self(p);
   if (p->type == HTTP_RESPONSE && p->status_code / 100 == 1) {  // an interim answer: the real one follows
-    r.TakeWhole();
+    r.TakeMessage();
     return 0;
   }
   r.message_.keep_alive = http_should_keep_alive(p) != 0;
@@ -174,18 +174,18 @@
 
 }  // namespace
 
-std::string WriteAnswer(unsigned status, bool keep_alive,
-                        const std::vector<std::pair<std::string, std::string>>& headers,
-                        std::string_view body) {
+std::string FormatResponse(unsigned status, bool keep_alive,
+                           const std::vector<std::pair<std::string, std::string>>& headers,
+                           std::string_view body) {
   std::string out = "HTTP/1.1 " + std::to_string(status) + " " + Phrase(status) + "\r\n";
   if (!keep_alive) out.append("Connection: close\r\n");
   Finish(out, headers, body);
   return out;
 }
 
-std::string WriteRequest(std::string_view method, std::string_view target,
-                         const std::vector<std::pair<std::string, std::string>>& headers,
-                         std::string_view body) {
+std::string FormatRequest(std::string_view method, std::string_view target,
+                          const std::vector<std::pair<std::string, std::string>>& headers,
+                          std::string_view body) {
   std::string out;
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
   Finish(out, headers, body);
--- a/src/fronts/http/message.h
+++ b/src/fronts/http/message.h
@@ -11,8 +11,8 @@
 
 namespace heronway::http {
 
-inline constexpr std::size_t kMostBody = 64 * 1024;
-inline constexpr std::size_t kMostHead = 16 * 1024;
+inline constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+inline constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 
 struct Message {
   std::string method, target;  // of a request
@@ -28,16 +28,16 @@
   std::size_t size() const;  // bytes held
 };
 
-enum class ReadState { kMore, kWhole, kMalformed, kHeadTooLarge, kBodyTooLarge };
+enum class ParseState { kIncomplete, kComplete, kMalformed, kHeadTooLarge, kBodyTooLarge };
 
-class Reader {
+class MessageParser {
  public:
-  Reader(http_parser_type type, std::size_t most_body);
+  MessageParser(http_parser_type type, std::size_t most_body);
   // Takes bytes up to the end of a message and says how many.
-  ReadState Feed(std::string_view bytes, std::size_t& used);
-  ReadState AtEnd();    // the peer has closed: an answer without a length is whole then
-  Message TakeWhole();  // and makes ready for the next
-  void Drop();          // what has been read so far; nothing more may be fed
+  ParseState Feed(std::string_view bytes, std::size_t& used);
+  ParseState FinishInput();  // the peer has closed: an answer without a length is whole then
+  Message TakeMessage();     // and makes ready for the next
+  void Drop();               // what has been read so far; nothing more may be fed
   bool begun() const { return begun_; }
   bool head_done() const { return head_done_; }
   const Message& message() const { return message_; }
@@ -57,16 +57,16 @@
   std::size_t head_bytes_ = 0;
   Message message_;
   bool begun_ = false, head_done_ = false, whole_ = false, in_value_ = false;
-  ReadState fault_ = ReadState::kMore;
+  ParseState fault_ = ParseState::kIncomplete;
 };
 
 // The bytes of an answer or a request. Content-Length is added where there may be a body.
-std::string WriteAnswer(unsigned status, bool keep_alive,
-                        const std::vector<std::pair<std::string, std::string>>& headers,
-                        std::string_view body);
-std::string WriteRequest(std::string_view method, std::string_view target,
-                         const std::vector<std::pair<std::string, std::string>>& headers,
-                         std::string_view body);
+std::string FormatResponse(unsigned status, bool keep_alive,
+                           const std::vector<std::pair<std::string, std::string>>& headers,
+                           std::string_view body);
+std::string FormatRequest(std::string_view method, std::string_view target,
+                          const std::vector<std::pair<std::string, std::string>>& headers,
+                          std::string_view body);
 
 }  // namespace heronway::http
 
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -2,9 +2,9 @@
 // what.
 #include <algorithm>
 
+#include "src/fronts/http/header_values.h"
 #include "src/fronts/http/ingress.h"
-#include "src/fronts/http/values.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 #include "src/log/log.h"
 
 namespace heronway::http {
@@ -31,7 +31,7 @@
   }
   std::size_t size = m.target.size();
   if (!plain(m.target, 0x21)) return "the path cannot be read";
-  for (const char* name : kPassedOn) {
+  for (const char* name : kForwardedHeaders) {
     const auto* value = m.Find(name);
     if (value == nullptr) continue;
     if (!plain(*value, 0x20)) return "a header cannot be read";
@@ -54,7 +54,7 @@
   r.headers = message.headers;
   r.body_bytes = static_cast<std::int64_t>(message.body.size());
   if (const auto* text = message.Find("Req-Deadline-Ms"))
-    r.deadline = std::clamp<std::int64_t>(ReadNumber<std::int64_t>(*text).value_or(0), 0, 1LL << 40) * 1000;
+    r.deadline = std::clamp<std::int64_t>(ParseNumber<std::int64_t>(*text).value_or(0), 0, 1LL << 40) * 1000;
   const auto* retry = message.Find("Req-Retry");
   r.repeat = retry != nullptr && *retry == "1";
   return r;
@@ -76,7 +76,7 @@
 void Front::ReadExtra(const Message& message, pebblenotch::Request& request) {
   const auto* extra = message.Find("Req-Extra");
   if (extra == nullptr) return;
-  const auto values = ReadPairs(*extra);
+  const auto values = ParsePairs(*extra);
   if (const auto it = values.find("slots"); it != values.end()) request.slots = it->second;
   if (const auto it = values.find("memory"); it != values.end()) request.memory = it->second;
 }
@@ -90,7 +90,8 @@
   if (judged.refuse != nullptr) return refuse(403, judged.refuse->c_str());
   if (judged.rate != nullptr) {
     ++turned_away_;
-    return in.Answer(429, {{"Retry-After", Seconds(judged.wait)}}, "over the rate " + *judged.rate + "\n");
+    return in.Answer(429, {{"Retry-After", FormatSeconds(judged.wait)}},
+                     "over the rate " + *judged.rate + "\n");
   }
   const auto first = message.target.substr(0, message.target.find_first_of("?/", 1));
   const auto job_class =
@@ -123,14 +124,14 @@
   // claims to wait for ever.
   Micros patience = settings.deadline;
   if (const auto* text = message.Find("Req-Deadline-Ms")) {
-    const auto ms = ReadNumber<std::int64_t>(*text);
+    const auto ms = ParseNumber<std::int64_t>(*text);
     if (!ms || *ms <= 0) return refuse(400, "Req-Deadline-Ms is not a whole number above 0");
     patience = std::min(*ms, patience / 1000) * 1000;
   }
   // Its client counts from when it sent it, which may be some time before it was read here.
   r.deadline = in.came + patience;
   if (const auto* text = message.Find("Req-Key")) {
-    const auto key = ReadNumber<std::uint64_t>(*text, 16);
+    const auto key = ParseNumber<std::uint64_t>(*text, 16);
     if (!key) return refuse(400, "Req-Key is not a hexadecimal number");
     r.key = *key;
   }
@@ -142,7 +143,7 @@
   if (const auto* retry = message.Find("Req-Retry")) r.client_retry = *retry == "1";
   ReadExtra(message, r);
   arrived.id = *id;
-  if (!alias.empty() && look_up_job_) return LookUp(in, std::move(message), std::move(arrived), alias);
+  if (!alias.empty() && job_lookup_) return LookUp(in, std::move(message), std::move(arrived), alias);
   Admit(in, std::move(message), std::move(arrived), alias);
 }
 
--- a/src/fronts/told.cpp
+++ b/src/fronts/log_reports.cpp
@@ -1,4 +1,4 @@
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-std::string Seconds(core::Micros time) {
+std::string FormatSeconds(core::Micros time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / 1e6);
   return text;
 }
 
-void LogStorm(std::string_view front, const limits::StormChange& change,
-              const std::vector<std::string>& classes) {
+void LogStormChange(std::string_view front, const limits::StormChange& change,
+                    const std::vector<std::string>& classes) {
   const auto& c = change.change;
   const bool up = c.to == limits::StormState::kStorm || c.to == limits::StormState::kRising;
   log::Event(up ? log::Level::kWarn : log::Level::kInfo, "storm",
@@ -41,7 +41,7 @@
               {"booked", change.booked}});
 }
 
-void LogRules(const match::Service* rules) {
+void LogRuleHits(const match::Service* rules) {
   if (rules == nullptr) return;
   const match::Rules& r = rules->rules();
   std::vector<std::uint32_t> hit;
@@ -54,7 +54,7 @@
   log::Event(log::Level::kInfo, "rules", {{"rules", r.size()}, {"without_a_hit", r.size() - hit.size()}});
 }
 
-void LogInvariants(std::string_view front, const core::Invariants& invariants) {
+void LogInvariantViolations(std::string_view front, const core::Invariants& invariants) {
   const auto times = [&invariants](core::Invariant which) {
     return invariants.Violations(static_cast<std::size_t>(which));
   };
@@ -68,13 +68,13 @@
               {"answered_before_exit", times(core::Invariant::kAnsweredBeforeExit)}});
 }
 
-void LogAnswer(std::string_view id, core::AnswerKind kind) {
+void LogFinalAnswer(std::string_view id, core::AnswerKind kind) {
   if (!log::Enabled(log::Level::kDebug)) return;
   static constexpr const char* kAnswers[] = {"served", "shed", "failed", "rejected"};
   log::Event(log::Level::kDebug, "request", {{"id", id}, {"answer", kAnswers[static_cast<int>(kind)]}});
 }
 
-void LogCounters(std::string_view front, const core::Reducer& reducer) {
+void LogRequestCounters(std::string_view front, const core::Reducer& reducer) {
   const core::Counters& c = reducer.counters();
   log::Event(log::Level::kInfo, "counters",
              {{"front", front, true},
@@ -130,7 +130,7 @@
               {"budget_spent", l.budget_spent}});
 }
 
-void LogStore(std::string_view front, const net::Driver& driver) {
+void LogDurableCounters(std::string_view front, const net::Driver& driver) {
   const durable::Keeper* keeper = driver.reducer().keeper();
   if (keeper == nullptr) return;
   using Place = durable::JobBook::Place;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,10 +15,10 @@
 #include "src/cluster/net/node.h"
 #include "src/config/config.h"
 #include "src/durable/tool.h"
-#include "src/fronts/console/calls.h"
+#include "src/fronts/console/endpoints.h"
 #include "src/fronts/faktory/front.h"
 #include "src/fronts/http/front.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 #include "src/log/log.h"
 #include "src/match/service.h"
 #include "src/match/tool.h"
@@ -54,7 +54,7 @@
                {{"discovery", net::ToText(next.discovery)}, {"moved", moved ? "yes" : "no"}});
     if (!moved) return true;
     in_force.discovery = next.discovery;
-    front.MoveDiscovery(next.discovery);
+    front.SetDiscoveryAddress(next.discovery);
     return true;
   } catch (const std::exception& e) {
     log::Event(log::Level::kError, "reload",
@@ -85,10 +85,10 @@
       shared, options.cluster, config.name, zone < config.zones.size() ? config.zones[zone] : "", fronts,
       config.seed + 6,
       cluster::Node::Callbacks{[&front, second](cluster::QuorumState standing, int schedulers) {
-                                 front.FleetSeen({standing, schedulers});
+                                 front.UpdateFleetView({standing, schedulers});
                                  if (second != nullptr) second->FleetSeen({standing, schedulers});
                                },
-                               [&front](const cluster::TargetAdvice& hint) { front.Hinted(hint); },
+                               [&front](const cluster::TargetAdvice& hint) { front.ApplyAdvice(hint); },
                                (config.module.settings.nodes + 1) / 2});
 }
 
@@ -181,14 +181,14 @@
       copies.ForwardReport(name, news, std::move(told));
     };
   };
-  front.LeadWords(lead("http"));
+  front.SetReportForwarder(lead("http"));
   if (second != nullptr) second->LeadWords(lead("faktory"));
   const auto look_up = [&copies](const std::string& name, bool is_alias) {
     return [&copies, name, is_alias](const std::string& job, net::Micros patience, auto told) {
       copies.LookUpJob(name, {job, is_alias}, patience, std::move(told));
     };
   };
-  front.LookUpJobs(look_up("http", true));
+  front.SetJobLookup(look_up("http", true));
   if (second != nullptr) second->LookUpJobs(look_up("faktory", false));
 }
 
@@ -226,9 +226,9 @@
     if (second) second->Drain();
   };
   const auto print = [&] {
-    front.PrintCounters();
+    front.LogStatistics();
     if (second) second->PrintCounters();
-    LogRules(rules.get());
+    LogRuleHits(rules.get());
   };
   net::Signal term(loop, SIGTERM, drain);
   net::Signal interrupt(loop, SIGINT, drain);
@@ -249,25 +249,25 @@
           [&member] { return member ? SeenBy(*member) : std::vector<cluster::copies::KnownMember>{}; });
       ServeCopies(*copies, front, second.get());
     }
-    front.TellFleet([&member](const cluster::TargetObservation& saw) {
+    front.SetObservationSink([&member](const cluster::TargetObservation& saw) {
       if (member) member->Observe(saw);
     });
   }
   std::unique_ptr<console::Console> desk;
   if (config.has_console) {
     const console::Operations operations{[&] { return front.Ready(); },
-                                         [&](bool on) { front.Cordon(on); },
+                                         [&](bool on) { front.SetCordoned(on); },
                                          [&] {
                                            FleetFigures figures = member ? member->Metrics() : FleetFigures{};
                                            if (copies) {
                                              for (auto& figure : copies->Counters())
                                                figures.push_back(figure);
                                            }
-                                           return console::Figures{&front.reducer().counters(),
+                                           return console::Metrics{&front.reducer().counters(),
                                                                    &config.classes,
                                                                    front.reducer().held(),
-                                                                   front.Listed(),
-                                                                   front.Avoided(),
+                                                                   front.CountListedTargets(),
+                                                                   front.CountUnselectableTargets(),
                                                                    conf_loaded,
                                                                    conf_invalid,
                                                                    front.invariants(),
@@ -278,9 +278,10 @@
                                          [&] { member->Leave(); },
                                          copies ? [&] { return copies->StatusJson(); } : Text{}};
     desk = std::make_unique<console::Console>(
-        shared, config.console, [operations](const http::Message& call) { return Answer(call, operations); });
+        shared, config.console,
+        [operations](const http::Message& call) { return HandleRequest(call, operations); });
   }
-  front.LendDescriptors([&] {
+  front.SetUnusedDescriptors([&] {
     std::size_t unused = 0;
     if (second) unused += second->unused_connections();
     if (desk) unused += desk->unused_connections();
@@ -298,11 +299,11 @@
   // Guards against leaving a request unread that came while the last answer went out, on a connection that is
   // still to be accepted too, and an answer that its client has not read whole: each has its time for that.
   const auto busy = [&] {
-    return front.reducer().held() > 0 || front.Answering() ||
+    return front.reducer().held() > 0 || front.HasUnsentAnswers() ||
            (second && (second->reducer().held() > 0 || second->Answering()));
   };
   for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1) busy() ? loop.RunTurn() : loop.RunOnce();
-  front.CheckExit();
+  front.CheckBeforeExit();
   print();
   return 0;
 }
@@ -442,7 +443,7 @@
     if (quiet) options.log.connections = false;
     if (check->parsed()) {
       LoadRules(config, options);
-      http::BudgetOf(config, options, faktory.enabled);
+      http::ComputeBudget(config, options, faktory.enabled);
       std::printf("%s: %zu classes, listens at %s\n", config.name.c_str(), config.classes.size(),
                   net::ToText(config.listen).c_str());
       return 0;
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -12,15 +12,14 @@
 TEST(Budget, RequestsNeverTakeEveryConnection) {
   for (std::size_t sockets = 64; sockets <= 4096; ++sockets) {
     for (std::size_t others = 0; others <= kMostOthers; ++others) {
-      if (sockets < Budget::kOwnDescriptors + others + Budget::kLeastEgress + Budget::kLeastSpare + 1)
-        continue;
+      if (sockets < Budget::kOwnDescriptors + others + Budget::kMinEgress + Budget::kMinSpare + 1) continue;
       const Budget b = Budget::From(sockets, kMemory, others);
       ASSERT_EQ(Budget::kOwnDescriptors + others + b.egress + b.ingress, sockets);
-      ASSERT_GE(b.egress, Budget::kLeastEgress);
+      ASSERT_GE(b.egress, Budget::kMinEgress);
       ASSERT_GE(b.requests, 1u);
-      ASSERT_GE(b.ingress, b.requests + Budget::kLeastSpare) << sockets << " with " << others;
+      ASSERT_GE(b.ingress, b.requests + Budget::kMinSpare) << sockets << " with " << others;
       ASSERT_GE(b.in_service, b.requests);
-      ASSERT_GE(b.ingress, b.in_service + Budget::kLeastSpare) << sockets << " with " << others;
+      ASSERT_GE(b.ingress, b.in_service + Budget::kMinSpare) << sockets << " with " << others;
     }
   }
 }
@@ -37,14 +36,14 @@
 TEST(Budget, EgressHasWhatOtherPartsDoNotUse) {
   constexpr std::size_t kOthers = 25 + 9 + 18 + 49;
   const Budget b = Budget::From(256, kMemory, kOthers);
-  EXPECT_EQ(b.LentToEgress(0), 0u);
-  EXPECT_EQ(b.LentToEgress(Budget::kNeverLent), 0u);
-  EXPECT_EQ(b.egress + b.LentToEgress(kOthers), 64u);
+  EXPECT_EQ(b.BorrowableByEgress(0), 0u);
+  EXPECT_EQ(b.BorrowableByEgress(Budget::kLendingReserve), 0u);
+  EXPECT_EQ(b.egress + b.BorrowableByEgress(kOthers), 64u);
   for (std::size_t unused = 0; unused <= kOthers; ++unused) {
-    EXPECT_LE(b.egress + b.LentToEgress(unused), 64u);
-    EXPECT_LE(b.LentToEgress(unused), unused) << "no more than there is";
+    EXPECT_LE(b.egress + b.BorrowableByEgress(unused), 64u);
+    EXPECT_LE(b.BorrowableByEgress(unused), unused) << "no more than there is";
   }
-  EXPECT_EQ(Budget::From(1'024, kMemory, 9).LentToEgress(9), 0u) << "it has a quarter of its own there";
+  EXPECT_EQ(Budget::From(1'024, kMemory, 9).BorrowableByEgress(9), 0u) << "it has a quarter of its own there";
 }
 
 TEST(Budget, TooFewSocketsAreNamed) {
--- a/tests/console_test.cpp
+++ b/tests/console_test.cpp
@@ -1,7 +1,7 @@
-// The console's calls and figures, without a socket.
+// The console's calls and metrics, without a socket.
 #include <gtest/gtest.h>
 
-#include "src/fronts/console/calls.h"
+#include "src/fronts/console/endpoints.h"
 
 namespace heronway::console {
 namespace {
@@ -19,28 +19,28 @@
   core::Counters counters;
   std::vector<std::string> classes = {"album-preview", "album-save"};
   Operations operations{[this] { return ready; }, [this](bool on) { told.push_back(on); },
-                        [this] { return Figures{&counters, &classes, 14, 12, 2, 3, 1}; }};
+                        [this] { return Metrics{&counters, &classes, 14, 12, 2, 3, 1}; }};
 };
 
 TEST(ConsoleTest, ReadinessFollowsTheFront) {
   Desk desk;
-  EXPECT_EQ(Answer(Call("GET", "/v1/readyz"), desk.operations).status, 200u);
+  EXPECT_EQ(HandleRequest(Call("GET", "/v1/readyz"), desk.operations).status, 200u);
   desk.ready = false;
-  EXPECT_EQ(Answer(Call("GET", "/v1/readyz?verbose=1"), desk.operations).status, 503u);
+  EXPECT_EQ(HandleRequest(Call("GET", "/v1/readyz?verbose=1"), desk.operations).status, 503u);
 }
 
 TEST(ConsoleTest, DrainAndActivateAreTold) {
   Desk desk;
-  EXPECT_EQ(Answer(Call("PUT", "/v1/scheduler/drain"), desk.operations).status, 200u);
-  EXPECT_EQ(Answer(Call("PUT", "/v1/scheduler/activate"), desk.operations).status, 200u);
+  EXPECT_EQ(HandleRequest(Call("PUT", "/v1/scheduler/drain"), desk.operations).status, 200u);
+  EXPECT_EQ(HandleRequest(Call("PUT", "/v1/scheduler/activate"), desk.operations).status, 200u);
   EXPECT_EQ(desk.told, (std::vector<bool>{true, false}));
 }
 
 TEST(ConsoleTest, WrongMethodOrPathChangesNothing) {
   Desk desk;
-  EXPECT_EQ(Answer(Call("GET", "/v1/scheduler/drain"), desk.operations).status, 405u);
-  EXPECT_EQ(Answer(Call("PUT", "/v1/readyz"), desk.operations).status, 405u);
-  EXPECT_EQ(Answer(Call("GET", "/v1/nothing"), desk.operations).status, 404u);
+  EXPECT_EQ(HandleRequest(Call("GET", "/v1/scheduler/drain"), desk.operations).status, 405u);
+  EXPECT_EQ(HandleRequest(Call("PUT", "/v1/readyz"), desk.operations).status, 405u);
+  EXPECT_EQ(HandleRequest(Call("GET", "/v1/nothing"), desk.operations).status, 404u);
   EXPECT_TRUE(desk.told.empty());
 }
 
@@ -48,9 +48,9 @@
   Desk desk;
   desk.counters.by_class.resize(1);
   desk.counters.by_class[0] = {812, 5, 2, 830};
-  const Reply reply = Answer(Call("GET", "/v1/metrics"), desk.operations);
-  ASSERT_EQ(reply.status, 200u);
-  const std::string& text = reply.body;
+  const Response response = HandleRequest(Call("GET", "/v1/metrics"), desk.operations);
+  ASSERT_EQ(response.status, 200u);
+  const std::string& text = response.body;
   for (const char* line :
        {"app.transactions.album-preview.answered=812\n", "app.transactions.album-preview.deferred=5\n",
         "app.transactions.album-preview.errored=2\n", "app.transactions.album-preview.sends=830\n",
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -72,7 +72,7 @@
     call.Send(CallBack(id, from, rest));
     EXPECT_TRUE(Has(Hear(call), " 200 "));
   }
-  std::size_t accepted() const { return front->connections(); }
+  std::size_t accepted() const { return front->connection_count(); }
 
   net::BufferPool pool{256};
   net::Loop loop;
@@ -231,8 +231,8 @@
   net::Shared shared{loop, pool, false};
   Peer worker;
   http::Egress egress(shared, {1'000'000, 5'000'000, 8});
-  std::vector<http::Reply::Kind> ends;
-  const auto done = [&ends](const http::Reply& reply) { ends.push_back(reply.kind); };
+  std::vector<http::CallResult::Kind> ends;
+  const auto done = [&ends](const http::CallResult& result) { ends.push_back(result.kind); };
   const auto turn = [&loop](const std::function<bool()>& so) {
     for (const double until = Now() + 3; !so() && Now() < until;) loop.RunOnce();
     return so();
@@ -244,7 +244,7 @@
   egress.Call(7, *net::ParseAddress(worker.at), hop, 0, false, done);
   drains = true;
   ASSERT_TRUE(turn([&ends] { return !ends.empty(); }));
-  EXPECT_EQ(ends.back(), http::Reply::Kind::kWithdrawn);
+  EXPECT_EQ(ends.back(), http::CallResult::Kind::kWithdrawn);
   Conn to = worker.Accept();
   EXPECT_TRUE(to.Quiet(0.05));
   egress.Call(
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -12,28 +12,28 @@
 namespace {
 
 using http::Message;
-using http::ReadState;
+using http::ParseState;
 
 // A served connection: reads requests one after another.
 struct Served : net::Stream::Owner {
   Served(net::Shared& shared, int fd)
-      : reader(HTTP_REQUEST, http::kMostBody), stream(shared, fd, "rig", *this) {}
+      : reader(HTTP_REQUEST, http::kMaxBodyBytes), stream(shared, fd, "rig", *this) {}
   void OnData(std::string_view bytes) override {
     while (!bytes.empty() && stream.open()) {
       std::size_t used = 0;
-      const ReadState state = reader.Feed(bytes, used);
+      const ParseState state = reader.Feed(bytes, used);
       bytes.remove_prefix(std::min(used, bytes.size()));
-      if (state == ReadState::kMore) return;
-      if (state != ReadState::kWhole) return stream.Close(net::Reason::kBadMessage);
-      OnMessage(reader.TakeWhole());
+      if (state == ParseState::kIncomplete) return;
+      if (state != ParseState::kComplete) return stream.Close(net::Reason::kBadMessage);
+      OnMessage(reader.TakeMessage());
     }
   }
   virtual void OnMessage(Message message) = 0;
   void Answer(unsigned status, std::string_view body,
               std::vector<std::pair<std::string, std::string>> headers = {}) {
-    if (stream.open()) stream.Write(http::WriteAnswer(status, true, headers, body));
+    if (stream.open()) stream.Write(http::FormatResponse(status, true, headers, body));
   }
-  http::Reader reader;
+  http::MessageParser reader;
   net::Stream stream;
 };
 
@@ -166,7 +166,7 @@
     hold.Stop();
     const std::string body = discovery.Answer(since);
     if (failure != Failure::kTorn) return Answer(200, body);
-    const std::string whole = http::WriteAnswer(200, true, {}, body);
+    const std::string whole = http::FormatResponse(200, true, {}, body);
     stream.Write(whole.substr(0, whole.size() - 2));
     End();
   }
@@ -331,16 +331,16 @@
     if (bodies.empty()) return;
     if (!stream || !stream->open()) {
       if (stream) worker.shared_.loop.Bury(std::move(stream));
-      reader = std::make_unique<http::Reader>(HTTP_RESPONSE, http::kMostBody);
+      reader = std::make_unique<http::MessageParser>(HTTP_RESPONSE, http::kMaxBodyBytes);
       stream = std::make_shared<net::Stream>(worker.shared_, *net::ParseAddress(scheduler), 1'000'000, "news",
                                              *this);
     }
-    stream->Write(http::WriteRequest("POST", "/_jobs/news", {{"Host", "s"}}, bodies.front()));
+    stream->Write(http::FormatRequest("POST", "/_jobs/news", {{"Host", "s"}}, bodies.front()));
   }
   void OnData(std::string_view bytes) override {
     std::size_t used = 0;
-    if (reader->Feed(bytes, used) != ReadState::kWhole) return;
-    if (!reader->TakeWhole().keep_alive) stream->Close(net::Reason::kAnswered);
+    if (reader->Feed(bytes, used) != ParseState::kComplete) return;
+    if (!reader->TakeMessage().keep_alive) stream->Close(net::Reason::kAnswered);
     bodies.pop_front();
     Call();
   }
@@ -351,7 +351,7 @@
   std::string scheduler;
   net::Timer again;
   std::shared_ptr<net::Stream> stream;
-  std::unique_ptr<http::Reader> reader;
+  std::unique_ptr<http::MessageParser> reader;
   std::deque<std::string> bodies;
 };
 
@@ -555,16 +555,16 @@
 struct Crowd::Link : net::Stream::Owner {
   explicit Link(Crowd& owner)
       : crowd(owner),
-        reader(HTTP_RESPONSE, http::kMostBody),
+        reader(HTTP_RESPONSE, http::kMaxBodyBytes),
         deadline(owner.shared_.loop, [this] { Over(0, -1, true); }),
         leaves(owner.shared_.loop, [this] { Leave(); }),
         stream(owner.shared_, owner.to_, 1'000'000, "client", *this) {}
   void OnData(std::string_view bytes) override {
     std::size_t used = 0;
-    const ReadState state = reader.Feed(bytes, used);
-    if (state == ReadState::kMore) return;
-    if (state != ReadState::kWhole || !client) return Over(0, -1, true);
-    const Message m = reader.TakeWhole();
+    const ParseState state = reader.Feed(bytes, used);
+    if (state == ParseState::kIncomplete) return;
+    if (state != ParseState::kComplete || !client) return Over(0, -1, true);
+    const Message m = reader.TakeMessage();
     Micros wait = -1;
     if (const auto* after = m.Find("Retry-After")) wait = static_cast<Micros>(std::stod(*after) * 1e6);
     // Guards the rule on lost requests: a 200 must hold what a worker made for this very request.
@@ -636,7 +636,7 @@
     if (whose) c.Ended(whose, status, wait);
   }
   Crowd& crowd;
-  http::Reader reader;
+  http::MessageParser reader;
   static constexpr Micros kCrossing = 20'000;
   net::Timer deadline, leaves;
   bool came_up = false, rested = false;  // it has answered before
@@ -715,7 +715,7 @@
     link->leaves.Start(static_cast<Micros>(Unit() * static_cast<double>(plan_.deadline)));
   const auto keep =
       *std::find_if(links_.begin(), links_.end(), [link](const auto& l) { return l.get() == link; });
-  link->stream.Write(http::WriteRequest("POST", plan_.keyed ? "/save" : "/preview", headers, "{}"));
+  link->stream.Write(http::FormatRequest("POST", plan_.keyed ? "/save" : "/preview", headers, "{}"));
 }
 
 // Once more, on another connection, what crossed the end of a resting one: under a new id.
