--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -59,7 +59,7 @@
     // Nothing of it is in hand; from the first asking on nothing is begun.
     std::function<bool(const std::string& group, const std::string& front)> idle;
     // A worker's word that reached another. `told`: whether it is stored. False: no such job is held here.
-    std::function<bool(const std::string& front, core::HopNews news, std::function<void(bool)> told)> report;
+    std::function<bool(const std::string& front, core::HopCallback news, std::function<void(bool)> told)> report;
     // Whether a job is known here; told perhaps within.
     std::function<void(const std::string& front, const JobName& name, std::function<void(LookupResult)> told)>
         find;
@@ -80,7 +80,7 @@
     member_source_ = std::move(members);
   }
   // Leads a worker's word to whoever holds its job, where this scheduler does not.
-  void ForwardReport(const std::string& front, const core::HopNews& news, ReportForwarder::Done told);
+  void ForwardReport(const std::string& front, const core::HopCallback& news, ReportForwarder::Done told);
   // Whether a job that this scheduler does not know is known to another, which may hold what this one took
   // before it lost its disk. `told` is called once, within `patience` microseconds, perhaps at once.
   void LookUpJob(const std::string& front, JobName name, Micros patience,
