--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -64,7 +64,8 @@
     std::function<bool(const std::string& group, const std::string& front)> idle;
     // Handles a worker's report that another member received. `done` receives whether the report is stored.
     // Returns false if the job is not known here.
-    std::function<bool(const std::string& front, core::HopNews news, std::function<void(bool)> done)> report;
+    std::function<bool(const std::string& front, core::HopCallback report, std::function<void(bool)> done)>
+        report;
     // Looks a job up at this member. `done` may be called before this returns.
     std::function<void(const std::string& front, const JobName& name, std::function<void(LookupResult)> done)>
         find;
@@ -85,7 +86,7 @@
     member_source_ = std::move(members);
   }
   // Forwards a worker's report of a job that this scheduler does not serve to the member that serves it.
-  void ForwardReport(const std::string& front, const core::HopNews& news, ReportForwarder::Done done);
+  void ForwardReport(const std::string& front, const core::HopCallback& report, ReportForwarder::Done done);
   // Asks the other members for a job that this scheduler does not know; one of them may serve what this one
   // accepted before it lost its disk. `done` is called once, within `timeout` microseconds, possibly before
   // this returns.
--- a/src/cluster/copies/report_forwarder.cpp
+++ b/src/cluster/copies/report_forwarder.cpp
@@ -11,26 +11,26 @@
 
 }  // namespace
 
-std::string EncodeReport(const core::HopNews& news) {
+std::string EncodeReport(const core::HopCallback& report) {
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(4);
-  out.pack(news.id).pack(news.from).pack(static_cast<int>(news.news)).pack(news.result);
+  out.pack(report.id).pack(report.from).pack(static_cast<int>(report.state)).pack(report.result);
   return {bytes.data(), bytes.size()};
 }
 
-std::optional<core::HopNews> DecodeReport(std::string_view bytes) {
+std::optional<core::HopCallback> DecodeReport(std::string_view bytes) {
   try {
     const msgpack::object_handle root = msgpack::unpack(bytes.data(), bytes.size());
     pack::ArrayReader in(root.get(), 4);
-    core::HopNews news;
-    news.id = in.Next().as<std::string>();
-    news.from = in.Number<core::TargetId>(0, ~core::TargetId{0});
-    news.news = in.Enum(core::News::kLost);
-    news.result = in.Next().as<std::string>();
-    pack::ArrayReader::Require(!news.id.empty() && news.id.size() <= kMaxIdBytes &&
-                               news.result.size() <= ReportForwarder::kMaxResultBytes);
-    return news;
+    core::HopCallback report;
+    report.id = in.Next().as<std::string>();
+    report.from = in.Number<core::TargetId>(0, ~core::TargetId{0});
+    report.state = in.Enum(core::CallbackState::kLost);
+    report.result = in.Next().as<std::string>();
+    pack::ArrayReader::Require(!report.id.empty() && report.id.size() <= kMaxIdBytes &&
+                               report.result.size() <= ReportForwarder::kMaxResultBytes);
+    return report;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/cluster/copies/report_forwarder.h
+++ b/src/cluster/copies/report_forwarder.h
@@ -22,9 +22,9 @@
 // again.
 enum class ForwardOutcome : std::uint8_t { kUnknownJob, kStored, kRetry };
 
-// A worker's report as sent between members: id, target, news and result. Its front is sent in the frame.
-std::string EncodeReport(const core::HopNews& news);
-std::optional<core::HopNews> DecodeReport(std::string_view bytes);
+// A worker's report as sent between members: id, target, state and result. Its front is sent in the frame.
+std::string EncodeReport(const core::HopCallback& report);
+std::optional<core::HopCallback> DecodeReport(std::string_view bytes);
 
 // Tracks the reports that are being forwarded and decides the outcome of each.
 class ReportForwarder {
--- a/src/cluster/copies/report_forwarding.cpp
+++ b/src/cluster/copies/report_forwarding.cpp
@@ -6,7 +6,7 @@
 
 namespace heronway::cluster::copies {
 
-void ReplicaManager::ForwardReport(const std::string& front, const core::HopNews& news,
+void ReplicaManager::ForwardReport(const std::string& front, const core::HopCallback& report,
                                    ReportForwarder::Done done) {
   std::vector<std::string> others;
   // A member that has gone recently may serve the job and come back: the report must not be dropped
@@ -18,11 +18,11 @@
         others.size() < Links::kMaxOutbound)
       others.push_back(m.name);
   }
-  if (news.result.size() > ReportForwarder::kMaxResultBytes) return done(ForwardOutcome::kUnknownJob);
+  if (report.result.size() > ReportForwarder::kMaxResultBytes) return done(ForwardOutcome::kUnknownJob);
   Frame f;
   f.kind = Frame::Kind::kRequest;
   f.group = front;
-  f.message = EncodeReport(news);
+  f.message = EncodeReport(report);
   f.server = report_forwarder_.Start(others, [done = std::move(done), recently_gone](ForwardOutcome outcome) {
     done(outcome == ForwardOutcome::kUnknownJob && recently_gone ? ForwardOutcome::kRetry : outcome);
   });
@@ -33,8 +33,8 @@
 
 // Answers from this member's own state only: a forwarded report is not forwarded again.
 void ReplicaManager::OnReport(const std::string& from, const Frame& f) {
-  auto news = DecodeReport(f.message);
-  if (!news) {
+  auto report = DecodeReport(f.message);
+  if (!report) {
     ++links_.frames_malformed;
     return;
   }
@@ -49,7 +49,7 @@
     reports_stored_ += stored ? 1 : 0;
     answer(stored ? "taken" : "again");
   };
-  if (front_hooks_.report && front_hooks_.report(f.group, std::move(*news), done)) return;
+  if (front_hooks_.report && front_hooks_.report(f.group, std::move(*report), done)) return;
   // A group without a leader, or one that is led here and not served yet, may have the job.
   const bool may_have_job = std::any_of(groups_.begin(), groups_.end(), [&f](const auto& p) {
     const Group& g = *p.second;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -13,9 +13,9 @@
 #include "src/cluster/net/node.h"
 #include "src/cluster/target_gossip/load_report.h"
 #include "src/fronts/console/console.h"
+#include "src/fronts/http/header_values.h"
 #include "src/fronts/http/ingress.h"
-#include "src/fronts/http/values.h"
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 #include "src/log/log.h"
 
 namespace heronway::http {
@@ -31,10 +31,10 @@
 // Whether bytes behind a request can be the start of another. Where they cannot, the length that the request
 // gave was wrong, and so is what was read as its body.
 bool MayBegin(std::string_view bytes) {
-  Reader next(HTTP_REQUEST, kMostBody);
+  MessageParser next(HTTP_REQUEST, kMaxBodyBytes);
   std::size_t used = 0;
-  const ReadState state = next.Feed(bytes, used);
-  return state == ReadState::kMore || state == ReadState::kWhole;
+  const ParseState state = next.Feed(bytes, used);
+  return state == ParseState::kIncomplete || state == ParseState::kComplete;
 }
 
 // The name that reports on the sockets use for a value that the settings call otherwise.
@@ -50,11 +50,11 @@
 
 }  // namespace
 
-Budget BudgetOf(const config::Config& config, const config::Options& options, bool faktory) {
+Budget ComputeBudget(const config::Config& config, const config::Options& options, bool faktory) {
   const auto sockets = static_cast<std::size_t>(config.sockets);
   std::size_t others = 0;  // descriptors
   if (faktory) others += sockets / 10;
-  if (config.has_console) others += console::Console::kMostCallers + 1;
+  if (config.has_console) others += console::Console::kMaxConnections + 1;
   if (options.cluster.enabled) others += cluster::Node::kMaxDescriptors;
   if (options.cluster.copies > 1) others += cluster::copies::Links::kDescriptors;
   return Budget::From(sockets, static_cast<std::size_t>(config.memory_mb) * 1024 * 1024, others);
@@ -66,16 +66,17 @@
       config_(config),
       rules_(rules),
       drained_(std::move(drained)),
-      budget_(BudgetOf(config, options, faktory)),
+      budget_(ComputeBudget(config, options, faktory)),
       routes_(
           config.zones, config.kinds,
           [rules](const std::string& zone, const std::string& kind, const std::vector<std::string>& labels) {
             return rules != nullptr ? rules->GroupsOf(zone, kind, labels) : 0;
           }),
-      egress_(shared,
-              {config.dial_timeout, config.conn_idle, budget_.egress,
-               [this] { return budget_.LentToEgress(unused_elsewhere_ ? unused_elsewhere_() : 0); }},
-              [this](core::TargetId target, bool came_up) { Dialled(target, came_up); }),
+      egress_(
+          shared,
+          {config.dial_timeout, config.conn_idle, budget_.egress,
+           [this] { return budget_.BorrowableByEgress(unused_descriptors_ ? unused_descriptors_() : 0); }},
+          [this](core::TargetId target, bool came_up) { Dialled(target, came_up); }),
       driver_(
           shared.loop, config.module.settings, config.seed, kTakeLimit, options.limits,
           [this](core::Effect& e) { Execute(e); },
@@ -83,14 +84,14 @@
           "http"),
       watch_(shared, routes_, config.discovery, config.seed + 10, config.module.settings.stop_sending_within,
              [this](core::RoutesChanged change) {
-               TellFleetOf(change);
+               PublishObservations(change);
                driver_.Post(std::move(change));
              }),
       listener_(
           shared.loop, config.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
           [this](int fd, const net::Address& from) { Accepted(fd, from); }),
       close_idle_(shared.loop, [this] { CloseIdle(); }) {
-  if (durable()) driver_.Post(core::StoreRead{});
+  if (durable()) driver_.Post(core::StoreLoaded{});
   // Its age is not known: the decisions hear of it once the watch says that it may be acted on.
   routes_.Take(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
@@ -101,14 +102,14 @@
 
 void Front::Drain() {
   if (reducer().draining()) return;  // a second SIGTERM must not begin the times of the first anew
-  driver_.Post(core::DrainBegun{});
+  driver_.Post(core::DrainStarted{});
   LogStop("begun");
   // Clients come on the connections they have for as long as these stay open. Found on a day on which the
   // other scheduler was not back yet: those that were closed at once found nobody.
   close_idle_.Start(reducer().stop_times().close_idle);
 }
 
-void Front::Cordon(bool on) {
+void Front::SetCordoned(bool on) {
   driver_.Post(core::Cordon{on});
   if (on)
     return close_idle_.Start(
@@ -124,8 +125,8 @@
   log::Event(log::Level::kInfo, "stop",
              {{"front", "http", true},
               {"state", state},
-              {"held", reducer().held()},
-              {"connections", ingress_count_},
+              {"held", reducer().pending()},
+              {"connections", connection_count_},
               {"close_idle_ms", times.close_idle / 1000},
               {"answers_due_ms", times.answers_due / 1000},
               {"earliest_kill_ms", times.earliest_kill / 1000}});
@@ -133,12 +134,12 @@
 
 core::Invariants Front::invariants() const {
   core::Invariants all = reducer().invariants();
-  for (std::size_t i = 0; i < core::kInvariants; ++i)
+  for (std::size_t i = 0; i < core::kInvariantCount; ++i)
     all.Count(static_cast<core::Invariant>(i), checks_.Violations(i));
   return all;
 }
 
-bool Front::Answering() const {
+bool Front::HasUnsentAnswers() const {
   if (looking_up_ > 0) return true;
   const auto& busy = ingress_[static_cast<std::size_t>(Stage::kBusy)];
   return std::any_of(busy.begin(), busy.end(), [](const auto& in) { return !in->stream.all_sent(); });
@@ -149,7 +150,7 @@
   return watch_.usable() && routes_.AnyReady() && !r.draining() && !r.cordoned() && !driver_.StoreFull();
 }
 
-std::size_t Front::Avoided() const {
+std::size_t Front::CountUnselectableTargets() const {
   const pebblenotch::Dispatcher& module = reducer().module();
   std::vector<bool> drawn;
   for (int c = 0; c < static_cast<int>(config_.classes.size()); ++c) {
@@ -168,7 +169,7 @@
   if (watch_.usable()) driver_.Post(std::move(change));
 }
 
-void Front::MoveDiscovery(const net::Address& at) { watch_.MoveTo(at); }
+void Front::SetDiscoveryAddress(const net::Address& at) { watch_.MoveTo(at); }
 
 // ---- ingress
 void Front::Accepted(int fd, const net::Address& from) {
@@ -176,8 +177,8 @@
   auto& places = At(Stage::kFresh);
   places.push_back(std::make_shared<Ingress>(*this, fd, from));
   places.back()->place = std::prev(places.end());
-  ++ingress_count_;
-  if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressCame{});
+  ++connection_count_;
+  if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressConnected{});
 }
 
 // Puts a connection where it stands now, behind those that came there before, and counts what it holds.
@@ -197,7 +198,7 @@
 // way: it would lose its request for another that is no better. `must`: the process has no descriptor
 // left, whatever its budget.
 bool Front::MakeRoom(bool must) {
-  if (!must && ingress_count_ < budget_.ingress) return true;
+  if (!must && connection_count_ < budget_.ingress) return true;
   const auto long_there = [this](Stage stage) {
     const auto& places = At(stage);
     return !places.empty() && shared_.loop.Now() - places.front()->placed_at > kSilent;
@@ -228,7 +229,7 @@
   log::Event(log::Level::kWarn, "ingress",
              {{"front", "http", true},
               {"state", "full"},
-              {"connections", ingress_count_},
+              {"connections", connection_count_},
               {"most", budget_.ingress},
               {"requests", pending_.size() + joined_.size()},
               {"most_requests", budget_.requests},
@@ -261,7 +262,7 @@
     if (fresh->left || fresh->reader.begun() || shared_.loop.Now() - fresh->since <= kSilent) continue;
     if (!fresh->stream.ReadWaiting() && !fresh->left) Remove(*fresh, net::Reason::kShutdown);
   }
-  if (reducer().RefusesAll(shared_.loop.Now())) {
+  if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
     if (!std::exchange(refusing_, true)) LogStop("refusing");
     EndComing();
   }
@@ -309,11 +310,12 @@
     ++malformed_;
     return in.Answer(400, {}, "not a call-back\n");
   }
-  core::HopNews news;
+  core::HopCallback news;
   const std::string state = root["state"].asString();
-  static const std::map<std::string, core::News> kStates = {
-      {"started", core::News::kStarted}, {"running", core::News::kRunning},   {"done", core::News::kDone},
-      {"failed", core::News::kFailed},   {"returned", core::News::kReturned}, {"lost", core::News::kLost}};
+  static const std::map<std::string, core::CallbackState> kStates = {
+      {"started", core::CallbackState::kStarted},   {"running", core::CallbackState::kRunning},
+      {"done", core::CallbackState::kDone},         {"failed", core::CallbackState::kFailed},
+      {"returned", core::CallbackState::kReturned}, {"lost", core::CallbackState::kLost}};
   const auto known = kStates.find(state);
   news.id = root["id"].asString();
   auto from = routes_.IdOf(root["from"].asString());
@@ -323,16 +325,16 @@
   // Guards a job of the other process on the same address while one replaces the other: a call-back that
   // reached the process which never held the job is refused and its connection closed, so that the worker
   // calls again, on a new connection that the kernel may give to the one that holds it.
-  if (!durable() && from && !reducer().Known(news.id)) {
+  if (!durable() && from && !reducer().IsKnown(news.id)) {
     in.keep_alive = false;
     return in.Answer(503, {}, "not held here\n");
   }
-  const bool elsewhere = lead_word_ && known != kStates.end() && !reducer().Holds(news.id) &&
+  const bool elsewhere = forward_report_ && known != kStates.end() && !reducer().IsPending(news.id) &&
                          reducer().keeper()->book().Find(news.id) == nullptr;
   if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
   if (known == kStates.end() || !from) return in.Answer(200, {}, {});
   news.from = *from;
-  news.news = known->second;
+  news.state = known->second;
   LogHop(news.id, -1, root["from"].asString(), state);
   if (root["share"].isNumeric()) news.share = root["share"].asDouble();
   const Json::Value& result = root["result"];
@@ -348,7 +350,7 @@
       if (load[name].isNumeric()) values[name] = load[name].asDouble();
     }
     news.report = ToReport(values);
-    TellFleetOf(news.from, news.report);
+    PublishObservations(news.from, news.report);
   }
   if (!durable()) {
     in.Answer(200, {}, {});
@@ -372,12 +374,12 @@
       pending_bytes_ -= it->second.message.size();
       pending_.erase(it);
     }
-    driver_.Post(core::IngressGone{ticket});
+    driver_.Post(core::IngressDisconnected{ticket});
   }
   in.timer.Stop();
   if (std::exchange(in.left, true)) return;
   incoming_bytes_ -= std::exchange(in.counted, 0);
-  --ingress_count_;
+  --connection_count_;
   auto& places = At(in.placed);
   shared_.loop.Bury(std::move(*in.place));
   places.erase(in.place);
@@ -397,20 +399,20 @@
 // ---- effects
 void Front::Execute(core::Effect& effect) {
   if (auto* send = std::get_if<core::SendHop>(&effect)) return Do(*send);
-  if (auto* off = std::get_if<core::CallOffHop>(&effect)) return Do(*off);
-  if (auto* over = std::get_if<core::HopOver>(&effect)) return Do(*over);
+  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Do(*off);
+  if (auto* over = std::get_if<core::HopCompleted>(&effect)) return Do(*over);
   if (auto* answer = std::get_if<core::Answer>(&effect)) return Do(*answer);
   if (auto* probe = std::get_if<core::StartProbe>(&effect)) return Do(*probe);
   if (std::holds_alternative<core::SubscribeRoutes>(effect)) return watch_.Start();
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
-    return LogStorm("http", storm->change, config_.classes);
-  if (auto* resume = std::get_if<core::Resume>(&effect)) return Do(*resume);
+    return LogStormChange("http", storm->change, config_.classes);
+  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Do(*resume);
   if (auto* settled = std::get_if<core::Settled>(&effect)) return Do(*settled);
   if (std::holds_alternative<core::Drained>(effect)) LogStop("drained");
   if (std::holds_alternative<core::Drained>(effect)) driver_.WhenStored([this](bool) { drained_(); });
 }
 
-void Front::Hinted(const cluster::TargetAdvice& hint) {
+void Front::ApplyAdvice(const cluster::TargetAdvice& hint) {
   if (hint.kind == cluster::FactKind::kStarted) {
     // A start that lies ahead is nobody's sight: such a target would be cold for ever.
     if (hint.since > shared_.loop.Now() + kClocksMay) return;
@@ -420,9 +422,9 @@
   }
   const auto* route = routes_.Find(hint.target);
   if (route != nullptr && hint.kind == cluster::FactKind::kLoad)
-    return driver_.Post(core::HeardLoad{hint.target, cluster::ToReport(hint), hint.age});
+    return driver_.Post(core::GossipedLoad{hint.target, cluster::ToReport(hint), hint.age});
   if (route != nullptr && route->state == pebblenotch::WorkerState::kReady)
-    driver_.Post(core::Doubted{hint.target});
+    driver_.Post(core::TargetSuspected{hint.target});
 }
 
 // Guards a target that is cold, and that nobody can say so of, against the traffic of a warm one.
@@ -433,30 +435,30 @@
   auto change = routes_.Started(target, now, {now, net::Loop::WallClock()});
   if (!change) return;
   log::Event(log::Level::kInfo, "restarted", {{"target", routes_.Find(target)->name, true}});
-  TellFleetOf(*change);
+  PublishObservations(*change);
   if (watch_.usable()) driver_.Post(std::move(*change));
 }
 
 // Of targets that started of late; the others' start is known to all.
-void Front::TellFleetOf(const core::RoutesChanged& change) {
-  if (!tell_fleet_) return;
+void Front::PublishObservations(const core::RoutesChanged& change) {
+  if (!observation_sink_) return;
   for (const auto& entry : change.entries) {
     if (entry.claimed_started_at > shared_.loop.Now() - config_.module.settings.slow_start_time)
-      tell_fleet_({cluster::FactKind::kStarted, entry.id, entry.claimed_started_at, false});
+      observation_sink_({cluster::FactKind::kStarted, entry.id, entry.claimed_started_at, false});
   }
 }
 
-void Front::TellFleetOf(core::TargetId target, core::Result result) {
-  if (!tell_fleet_) return;
+void Front::PublishObservations(core::TargetId target, core::Result result) {
+  if (!observation_sink_) return;
   const bool failing = result == core::Result::kConnectFailed || result == core::Result::kReset ||
                        result == core::Result::kTimeout;
   const bool answered =
       result == core::Result::kOk || result == core::Result::kError || result == core::Result::kFull;
-  if (failing || answered) tell_fleet_({cluster::FactKind::kFailing, target, 0, answered});
+  if (failing || answered) observation_sink_({cluster::FactKind::kFailing, target, 0, answered});
 }
 
-void Front::TellFleetOf(core::TargetId target, const std::optional<pebblenotch::Report>& report) {
-  if (tell_fleet_ && report) tell_fleet_(cluster::LoadObservation(target, *report));
+void Front::PublishObservations(core::TargetId target, const std::optional<pebblenotch::Report>& report) {
+  if (observation_sink_ && report) observation_sink_(cluster::LoadObservation(target, *report));
 }
 
 void Front::Do(core::Answer& e) {
@@ -468,13 +470,13 @@
   pending_.erase(it);
   if (from == nullptr) return;
   Ingress& in = *from;
-  LogAnswer(id, e.kind);
+  LogFinalAnswer(id, e.kind);
   switch (e.kind) {
     case core::AnswerKind::kServed:
       return in.Answer(200, {}, e.result);
     case core::AnswerKind::kShed: {
       Headers headers;
-      if (e.retry_after > 0) headers.emplace_back("Retry-After", Seconds(e.retry_after));
+      if (e.retry_after > 0) headers.emplace_back("Retry-After", FormatSeconds(e.retry_after));
       return in.Answer(503, headers, "shed\n");
     }
     case core::AnswerKind::kFailed:
@@ -485,7 +487,7 @@
 }
 
 std::optional<pebblenotch::Report> Front::ReadLoad(std::string_view text) const {
-  return ToReport(ReadPairs(text));
+  return ToReport(ParsePairs(text));
 }
 
 // Values under the settings' names or the sockets', in the settings' order.
@@ -493,7 +495,7 @@
   pebblenotch::wire::Metrics metrics;
   bool any = false;
   for (const std::string& field : config_.load_fields) {
-    if (metrics.count == pebblenotch::wire::kMostMetrics) break;
+    if (metrics.count == pebblenotch::wire::kMaxMetrics) break;
     auto it = values.find(OnSockets(field));
     if (it == values.end()) it = values.find(field);
     any = any || it != values.end();
@@ -503,16 +505,16 @@
   return pebblenotch::wire::ToReport(metrics, config_.module.fields);
 }
 
-void Front::PrintCounters() const {
-  LogCounters("http", driver_.reducer());
-  LogStore("http", driver_);
-  LogInvariants("http", invariants());
+void Front::LogStatistics() const {
+  LogRequestCounters("http", driver_.reducer());
+  LogDurableCounters("http", driver_);
+  LogInvariantViolations("http", invariants());
   log::Event(log::Level::kInfo, "counters",
              {{"front", "http", true},
               {"news", news_},
               {"turned_away", turned_away_},
               {"malformed", malformed_},
-              {"ingress", ingress_count_},
+              {"ingress", connection_count_},
               {"made_room", made_room_},
               {"longest_full_ms", longest_full_ / 1000},
               {"egress", egress_.connections()},
--- a/src/fronts/told.cpp
+++ b/src/fronts/log_reports.cpp
@@ -1,4 +1,4 @@
-#include "src/fronts/told.h"
+#include "src/fronts/log_reports.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-std::string Seconds(core::Micros time) {
+std::string FormatSeconds(core::Micros time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / 1e6);
   return text;
 }
 
-void LogStorm(std::string_view front, const limits::StormChange& change,
-              const std::vector<std::string>& classes) {
+void LogStormChange(std::string_view front, const limits::StormChange& change,
+                    const std::vector<std::string>& classes) {
   const auto& c = change.change;
   const bool up = c.to == limits::StormState::kStorm || c.to == limits::StormState::kRising;
   log::Event(up ? log::Level::kWarn : log::Level::kInfo, "storm",
@@ -41,7 +41,7 @@
               {"booked", change.booked}});
 }
 
-void LogRules(const match::Service* rules) {
+void LogRuleHits(const match::Service* rules) {
   if (rules == nullptr) return;
   const match::Rules& r = rules->rules();
   std::vector<std::uint32_t> hit;
@@ -54,27 +54,27 @@
   log::Event(log::Level::kInfo, "rules", {{"rules", r.size()}, {"without_a_hit", r.size() - hit.size()}});
 }
 
-void LogInvariants(std::string_view front, const core::Invariants& invariants) {
+void LogInvariantViolations(std::string_view front, const core::Invariants& invariants) {
   const auto times = [&invariants](core::Invariant which) {
     return invariants.Violations(static_cast<std::size_t>(which));
   };
   log::Event(invariants.Violations() > 0 ? log::Level::kError : log::Level::kInfo, "invariants",
              {{"front", front, true},
-              {"one_attempt_out", times(core::Invariant::kOneAttemptOut)},
-              {"repeat_allowed", times(core::Invariant::kRepeatAllowed)},
+              {"one_attempt_out", times(core::Invariant::kOneHopInFlight)},
+              {"repeat_allowed", times(core::Invariant::kRetryAllowed)},
               {"time_left", times(core::Invariant::kTimeLeft)},
               {"slow_start_token", times(core::Invariant::kSlowStartToken)},
               {"answered_before_close", times(core::Invariant::kAnsweredBeforeClose)},
               {"answered_before_exit", times(core::Invariant::kAnsweredBeforeExit)}});
 }
 
-void LogAnswer(std::string_view id, core::AnswerKind kind) {
+void LogFinalAnswer(std::string_view id, core::AnswerKind kind) {
   if (!log::Enabled(log::Level::kDebug)) return;
   static constexpr const char* kAnswers[] = {"served", "shed", "failed", "rejected"};
   log::Event(log::Level::kDebug, "request", {{"id", id}, {"answer", kAnswers[static_cast<int>(kind)]}});
 }
 
-void LogCounters(std::string_view front, const core::Reducer& reducer) {
+void LogRequestCounters(std::string_view front, const core::Reducer& reducer) {
   const core::Counters& c = reducer.counters();
   log::Event(log::Level::kInfo, "counters",
              {{"front", front, true},
@@ -83,12 +83,12 @@
               {"shed", c.shed},
               {"failed", c.failed},
               {"rejected", c.rejected},
-              {"gone", c.gone},
-              {"held", reducer.held()},
+              {"gone", c.disconnected},
+              {"held", reducer.pending()},
               {"hops", c.hops},
-              {"called_off", c.called_off},
+              {"called_off", c.cancelled},
               {"probes", c.probes},
-              {"late_news", c.late_news},
+              {"late_news", c.late_callbacks},
               {"hops_ok", c.hop_results[0]},
               {"hops_error", c.hop_results[1]},
               {"hops_full", c.hop_results[2]},
@@ -98,7 +98,7 @@
               {"hops_cancelled", c.hop_results[6]},
               {"hops_moot", c.hop_results[7]}});
   // The busiest tenants by name, and the others together.
-  std::vector<const core::Tenants::Row*> tenants;
+  std::vector<const core::TenantTable::Row*> tenants;
   for (const auto& row : reducer.tenants().rows()) tenants.push_back(&row);
   std::stable_sort(tenants.begin(), tenants.end(), [](auto* a, auto* b) { return a->taken > b->taken; });
   for (std::size_t i = 0; i < std::min(tenants.size(), kMostTold) && tenants[i]->taken > 0; ++i) {
@@ -110,7 +110,7 @@
                 {"served", t.served},
                 {"shed", t.shed},
                 {"failed", t.failed},
-                {"gone", t.gone}});
+                {"gone", t.disconnected}});
   }
   const limits::Limits* limits = reducer.limits();
   if (limits == nullptr) return;
@@ -130,7 +130,7 @@
               {"budget_spent", l.budget_spent}});
 }
 
-void LogStore(std::string_view front, const net::Driver& driver) {
+void LogDurableCounters(std::string_view front, const net::Driver& driver) {
   const durable::Keeper* keeper = driver.reducer().keeper();
   if (keeper == nullptr) return;
   using Place = durable::JobBook::Place;
--- a/tests/cluster/report_forwarder_test.cpp
+++ b/tests/cluster/report_forwarder_test.cpp
@@ -64,22 +64,22 @@
 }
 
 TEST(ReportForwarder, ReportRoundTripsAndTruncatedOnesAreRejected) {
-  core::HopNews news;
-  news.id = "job 1";
-  news.from = ~core::TargetId{0};
-  news.news = core::News::kFailed;
-  news.result = std::string("a\0b", 3);
-  const std::string bytes = EncodeReport(news);
+  core::HopCallback report;
+  report.id = "job 1";
+  report.from = ~core::TargetId{0};
+  report.state = core::CallbackState::kFailed;
+  report.result = std::string("a\0b", 3);
+  const std::string bytes = EncodeReport(report);
   const auto back = DecodeReport(bytes);
   ASSERT_TRUE(back.has_value());
-  EXPECT_EQ(back->id, news.id);
-  EXPECT_EQ(back->from, news.from);
-  EXPECT_EQ(back->news, news.news);
-  EXPECT_EQ(back->result, news.result);
+  EXPECT_EQ(back->id, report.id);
+  EXPECT_EQ(back->from, report.from);
+  EXPECT_EQ(back->state, report.state);
+  EXPECT_EQ(back->result, report.result);
   for (std::size_t n = 0; n < bytes.size(); ++n)
     EXPECT_FALSE(DecodeReport(bytes.substr(0, n)).has_value()) << n;
-  news.id.clear();
-  EXPECT_FALSE(DecodeReport(EncodeReport(news)).has_value());
+  report.id.clear();
+  EXPECT_FALSE(DecodeReport(EncodeReport(report)).has_value());
 }
 
 }  // namespace
