--- a/src/cluster/net/node.cpp
+++ b/src/cluster/net/node.cpp
@@ -143,7 +143,7 @@
 
 Node::~Node() {
   while (!links_.empty()) RemoveLink(*links_.front(), net::Reason::kShutdown);
-  io_.Forget();
+  io_.StopBeforeClose();
   close(fd_);
 }
 
--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -8,9 +8,9 @@
 bool ByteQueue::Append(std::string_view bytes) {
   while (!bytes.empty()) {
     if (buffers_.empty() || buffers_.back()->end == Buffer::kSize) {
-      auto fresh = pool_.Take();
-      if (!fresh) return false;
-      buffers_.push_back(std::move(fresh));
+      auto buffer = pool_.Acquire();
+      if (!buffer) return false;
+      buffers_.push_back(std::move(buffer));
     }
     Buffer& last = *buffers_.back();
     const std::size_t n = std::min(bytes.size(), Buffer::kSize - last.end);
@@ -31,12 +31,12 @@
   Buffer& first = *buffers_.front();
   first.begin += count;
   if (first.begin < first.end) return;
-  pool_.Give(std::move(buffers_.front()));
+  pool_.Release(std::move(buffers_.front()));
   buffers_.pop_front();
 }
 
 void ByteQueue::Clear() {
-  for (auto& buffer : buffers_) pool_.Give(std::move(buffer));
+  for (auto& buffer : buffers_) pool_.Release(std::move(buffer));
   buffers_.clear();
 }
 
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,4 +1,4 @@
-// Buffers of one size, used again and again; and a queue of bytes made of them.
+// A pool of reusable buffers of one size, and a byte queue that is built from them.
 #ifndef HERONWAY_NET_BUFFER_POOL_H_
 #define HERONWAY_NET_BUFFER_POOL_H_
 
@@ -12,19 +12,21 @@
 namespace heronway::net {
 
 struct Buffer {
-  static constexpr std::size_t kSize = 8 * 1024;
+  static constexpr std::size_t kSize = 8 * 1024;  // bytes
   std::array<char, kSize> bytes;
-  std::size_t begin = 0, end = 0;
+  std::size_t begin = 0, end = 0;  // of the bytes in use
 };
 
+// Not thread-safe. Released buffers are kept for reuse.
 class BufferPool {
  public:
-  explicit BufferPool(std::size_t most) : most_(most) {}
-  // Null when all are in use.
-  std::unique_ptr<Buffer> Take() {
+  // `capacity`: the maximum number of buffers.
+  explicit BufferPool(std::size_t capacity) : capacity_(capacity) {}
+  // Returns null when all buffers are in use.
+  std::unique_ptr<Buffer> Acquire() {
     if (free_.empty()) {
-      if (made_ == most_) return nullptr;
-      ++made_;
+      if (allocated_ == capacity_) return nullptr;
+      ++allocated_;
       return std::make_unique<Buffer>();
     }
     auto buffer = std::move(free_.back());
@@ -32,14 +34,15 @@
     buffer->begin = buffer->end = 0;
     return buffer;
   }
-  void Give(std::unique_ptr<Buffer> buffer) { free_.push_back(std::move(buffer)); }
-  std::size_t in_use() const { return made_ - free_.size(); }
+  void Release(std::unique_ptr<Buffer> buffer) { free_.push_back(std::move(buffer)); }
+  std::size_t in_use() const { return allocated_ - free_.size(); }
 
  private:
-  std::size_t most_, made_ = 0;
+  std::size_t capacity_, allocated_ = 0;
   std::vector<std::unique_ptr<Buffer>> free_;
 };
 
+// Bytes that wait to be sent, in buffers from the pool.
 class ByteQueue {
  public:
   explicit ByteQueue(BufferPool& pool) : pool_(pool) {}
@@ -47,10 +50,10 @@
   ByteQueue(const ByteQueue&) = delete;
   ByteQueue& operator=(const ByteQueue&) = delete;
 
-  // False, and some of it left out, when the pool is empty.
+  // Returns false when the pool is exhausted; part of `bytes` may have been appended then.
   bool Append(std::string_view bytes);
-  std::string_view Front() const;
-  void Drop(std::size_t count);  // of what Front gives
+  std::string_view Front() const;  // the first contiguous bytes; empty where the queue is
+  void Drop(std::size_t count);    // removes `count` bytes, at most the size of Front()
   void Clear();
   bool empty() const { return buffers_.empty(); }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -11,23 +11,24 @@
 namespace heronway::net {
 namespace {
 
-constexpr int kBacklog = 512;
-constexpr int kAcceptsAtOnce = 64;
-constexpr Micros kRestTime = 20'000;
+constexpr int kBacklog = 512;  // connections
+constexpr int kMaxAcceptsPerIteration = 64;
+constexpr Micros kPauseTime = 20'000;  // microseconds
 
 }  // namespace
 
 Listener::Listener(Loop& loop, const Address& at, const limits::AcceptSettings& pace,
-                   std::function<bool(bool)> make_room, std::function<void(int, const Address&)> accepted)
+                   std::function<bool(bool)> reserve_descriptor,
+                   std::function<void(int, const Address&)> on_accept)
     : loop_(loop),
       pacer_(pace),
-      make_room_(std::move(make_room)),
-      accepted_(std::move(accepted)),
-      io_(loop.poller(), [this](int) { AcceptSome(); }),
-      rest_(loop, [this] { io_.Start(fd_, EV_READ); }) {
+      reserve_descriptor_(std::move(reserve_descriptor)),
+      on_accept_(std::move(on_accept)),
+      io_(loop.poller(), [this](int) { AcceptPending(); }),
+      resume_timer_(loop, [this] { io_.Start(fd_, EV_READ); }) {
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  // SO_REUSEPORT: a process that replaces this one binds the same address while this one still serves, and
-  // the kernel spreads new connections over both until this one ends (docs/operations.md).
+  // SO_REUSEPORT lets a replacement process bind the same address while this one still serves. The kernel
+  // distributes new connections over both until this one ends (docs/operations.md).
   const int on = 1;
   if (fd_ >= 0) {
     setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -43,7 +44,7 @@
 }
 
 Listener::~Listener() {
-  io_.Forget();
+  io_.StopBeforeClose();
   close(fd_);
 }
 
@@ -54,34 +55,34 @@
   return at;
 }
 
-void Listener::AcceptSome() {
-  bool made_room = false;
-  for (int n = 0; n < kAcceptsAtOnce; ++n) {
-    if (!pacer_.Ready(loop_.Now()) || !make_room_(false)) return Rest();
+void Listener::AcceptPending() {
+  bool freed_descriptor = false;
+  for (int n = 0; n < kMaxAcceptsPerIteration; ++n) {
+    if (!pacer_.Ready(loop_.Now()) || !reserve_descriptor_(false)) return Pause();
     Address from{};
     socklen_t size = sizeof from;
     const int fd = accept4(fd_, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       pacer_.Took();
-      accepted_(fd, from);
-    } else if (errno == EMFILE && !made_room) {
-      made_room = make_room_(true);
-      if (!made_room) return Rest();
+      on_accept_(fd, from);
+    } else if (errno == EMFILE && !freed_descriptor) {
+      freed_descriptor = reserve_descriptor_(true);
+      if (!freed_descriptor) return Pause();
     } else if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-      return Rest();  // the system's lack, not ours: to end connections of clients would not help
+      return Pause();  // a shortage of the whole system: closing client connections would not help
     } else if (errno == EAGAIN) {
-      return;  // nobody waits
+      return;  // no connection is pending
     } else if (errno == EBADF || errno == EINVAL || errno == ENOTSOCK || errno == EFAULT) {
-      return Rest();
+      return Pause();
     }
-    // All others are of the one connection that was waiting (accept(2)): the next may be well.
+    // All other errors concern only the connection that was pending (see accept(2)): try the next one.
   }
 }
 
-// Guards against a busy loop: a connection that cannot be accepted keeps the listener readable.
-void Listener::Rest() {
+// Avoids a busy loop: the listener stays readable while a pending connection cannot be accepted.
+void Listener::Pause() {
   io_.Stop();
-  rest_.Start(kRestTime);
+  resume_timer_.Start(kPauseTime);
 }
 
 }  // namespace heronway::net
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// A listening socket that keeps within a budget of descriptors.
+// A listening socket that respects the limits on descriptors and on the rate of new connections.
 #ifndef HERONWAY_NET_LISTENER_H_
 #define HERONWAY_NET_LISTENER_H_
 
@@ -12,28 +12,31 @@
 
 class Listener {
  public:
-  // `make_room` is asked before each accept, and when the system has no descriptor left; false: wait.
-  // `pace`: how fast they are accepted.
+  // `reserve_descriptor` is called before each accept, and with `required` when the process has no
+  // descriptor left; where it returns false, accepting pauses. `pace`: the rate limit for accepted
+  // connections. `on_accept` takes ownership of `fd`. Throws std::runtime_error where the address cannot be
+  // bound.
   Listener(Loop& loop, const Address& at, const limits::AcceptSettings& pace,
-           std::function<bool(bool must)> make_room,
-           std::function<void(int fd, const Address& from)> accepted);
+           std::function<bool(bool required)> reserve_descriptor,
+           std::function<void(int fd, const Address& from)> on_accept);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
+  // Number of times the rate limit has delayed an accept.
   std::uint64_t paced() const { return pacer_.paced(); }
-  Address address() const;  // as bound: where port 0 was asked for, with the port it got
+  Address address() const;  // the bound address, with the assigned port where port 0 was requested
 
  private:
-  void AcceptSome();
-  void Rest();
+  void AcceptPending();
+  void Pause();
 
   Loop& loop_;
   limits::AcceptPacer pacer_;
-  std::function<bool(bool)> make_room_;
-  std::function<void(int, const Address&)> accepted_;
+  std::function<bool(bool)> reserve_descriptor_;
+  std::function<void(int, const Address&)> on_accept_;
   int fd_ = -1;
   DescriptorWatch io_;
-  Timer rest_;
+  Timer resume_timer_;
 };
 
 }  // namespace heronway::net
--- a/src/net/reason.h
+++ b/src/net/reason.h
@@ -1,4 +1,4 @@
-// Why a connection ended: one code for each log line.
+// Why a connection ended, and the code for it in the log.
 #ifndef HERONWAY_NET_REASON_H_
 #define HERONWAY_NET_REASON_H_
 
@@ -6,25 +6,27 @@
 
 namespace heronway::net {
 
+// The reason for the end of a connection.
 enum class Reason : std::uint8_t {
   kPeerClosed,     // the peer ended the connection
-  kPeerReset,      // it broke
-  kConnectFailed,  // it never came up: refused, unreachable or too slow
+  kPeerReset,      // the connection broke
+  kConnectFailed,  // not established: refused, unreachable or too slow
   kIdle,           // unused for too long
-  kEvicted,        // idle, and its descriptor was needed
-  kSlowRequest,    // the peer took too long over a request
-  kSlowReader,     // the peer took too long to read what it was sent
-  kBadMessage,     // what came could not be read
-  kTooLarge,       // over a limit on size
-  kAnswered,       // closed after the last answer, as announced
-  kCancelled,      // a hop was called off before it was taken
+  kEvicted,        // idle, and its descriptor was needed for another connection
+  kSlowRequest,    // the peer took too long to send a request
+  kSlowReader,     // the peer took too long to read its data
+  kBadMessage,     // the received bytes could not be parsed
+  kTooLarge,       // the received message exceeds a size limit
+  kAnswered,       // closed after the last answer, as announced to the peer
+  kCancelled,      // a hop was cancelled before the target accepted it
   kNoAnswer,       // the peer took too long to answer
-  kNoMemory,       // the pool of buffers was empty
-  kProtocol,       // the peer broke the protocol's order
-  kReplaced,       // the target moved to another address
-  kShutdown,       // the program ends
+  kNoMemory,       // the buffer pool was exhausted
+  kProtocol,       // the peer violated the order of messages in the protocol
+  kReplaced,       // another connection or address took its place
+  kShutdown,       // the program stops
 };
 
+// The value of the log's `end` key.
 constexpr const char* Code(Reason reason) {
   switch (reason) {
     case Reason::kPeerClosed:
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -20,24 +20,28 @@
 
 namespace {
 
-constexpr Micros kDialAgain = 10'000;       // between two tries of a dial that this machine could not make
-constexpr Micros kMostUnread = 10'000'000;  // a system that tells more of the last bytes' age tells nothing
-constexpr Micros kCallAgain = 5'000;        // behind a read or write that lacked memory for a moment
-
-// This machine lacks something for a moment; it tells nothing of the peer.
-bool LacksForAMoment(int error) {
+// Until the next attempt of a dial that failed because of a shortage on this machine.
+constexpr Micros kDialRetryDelay = 10'000;
+// Where the system reports a greater age of the last received bytes, the value is taken for invalid.
+constexpr Micros kMaxPlausibleAge = 10'000'000;
+// After a read or write that lacked memory.
+constexpr Micros kShortagePause = 5'000;
+
+// Whether the error means that this machine is briefly short of something. Such an error says nothing about
+// the peer.
+bool IsLocalShortage(int error) {
   return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM ||
          error == EADDRNOTAVAIL || error == EAGAIN || error == ENETUNREACH || error == ENETDOWN ||
          error == ECONNABORTED;
 }
 
-// What there is of `events` now; 0 also where poll fails for longer than a moment (EINTR, ENOMEM).
-int Polled(int fd, short events) {
-  constexpr int kMostTries = 16;
-  pollfd asked{fd, events, 0};
-  for (int n = 0; n < kMostTries; ++n) {
-    const int count = poll(&asked, 1, 0);
-    if (count >= 0) return count == 0 ? 0 : asked.revents;
+// Which of `events` are ready now; 0 also where poll keeps failing (EINTR, ENOMEM).
+int PollNow(int fd, short events) {
+  constexpr int kMaxTries = 16;
+  pollfd polled{fd, events, 0};
+  for (int n = 0; n < kMaxTries; ++n) {
+    const int count = poll(&polled, 1, 0);
+    if (count >= 0) return count == 0 ? 0 : polled.revents;
   }
   return 0;
 }
@@ -69,145 +73,147 @@
   return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
 }
 
-Stream::Stream(StreamContext& shared, int fd, std::string label, Owner& owner)
-    : shared_(shared),
+Stream::Stream(StreamContext& context, int fd, std::string label, Owner& owner)
+    : context_(context),
       owner_(owner),
       label_(std::move(label)),
       fd_(fd),
-      io_(shared.loop.poller(), [this](int events) { OnIo(events); }),
-      dial_timer_(shared.loop, [this] { Watch(); }),
-      again_timer_(shared.loop, [] {}),
-      out_(shared.pool) {
+      watch_(context.loop.poller(), [this](int events) { OnIo(events); }),
+      dial_timer_(context.loop, [this] { UpdateWatch(); }),
+      retry_timer_(context.loop, [] {}),
+      send_queue_(context.pool) {
   const int on = 1;
   setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  io_.Start(fd_, EV_READ);
+  watch_.Start(fd_, EV_READ);
 }
 
-Stream::Stream(StreamContext& shared, const Address& to, Micros dial_timeout, std::string label, Owner& owner)
-    : shared_(shared),
+Stream::Stream(StreamContext& context, const Address& to, Micros dial_timeout, std::string label,
+               Owner& owner)
+    : context_(context),
       owner_(owner),
       label_(std::move(label)),
-      dialling_(true),
-      io_(shared.loop.poller(), [this](int events) { OnIo(events); }),
-      dial_timer_(shared.loop, [this] { dialling_ ? End(Reason::kConnectFailed) : Watch(); }),
-      again_timer_(shared.loop, [this] { DialAgain(); }),
-      to_(to),
-      out_(shared.pool) {
+      dialing_(true),
+      watch_(context.loop.poller(), [this](int events) { OnIo(events); }),
+      dial_timer_(context.loop, [this] { dialing_ ? End(Reason::kConnectFailed) : UpdateWatch(); }),
+      retry_timer_(context.loop, [this] { RetryDial(); }),
+      peer_address_(to),
+      send_queue_(context.pool) {
   dial_timer_.Start(dial_timeout);
   if (!Dial()) dial_timer_.Start(0);
 }
 
-// False where the peer cannot be reached. Where this machine cannot dial just now, the next try is set.
+// Returns false where the peer cannot be reached. On a shortage on this machine, schedules another attempt
+// and returns true.
 bool Stream::Dial() {
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ >= 0) {
     const int on = 1;
     setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    const auto* name = reinterpret_cast<const sockaddr*>(&to_);
-    // A dial that a signal interrupts goes on by itself.
-    if (connect(fd_, name, sizeof to_) == 0 || errno == EINPROGRESS || errno == EINTR) {
-      io_.Start(fd_, EV_WRITE);
+    const auto* name = reinterpret_cast<const sockaddr*>(&peer_address_);
+    // After EINTR the connection is established asynchronously, as after EINPROGRESS.
+    if (connect(fd_, name, sizeof peer_address_) == 0 || errno == EINPROGRESS || errno == EINTR) {
+      watch_.Start(fd_, EV_WRITE);
       return true;
     }
   }
-  refused_ = fd_ >= 0 && errno == ECONNREFUSED;
-  if (!LacksForAMoment(errno)) return false;
+  connection_refused_ = fd_ >= 0 && errno == ECONNREFUSED;
+  if (!IsLocalShortage(errno)) return false;
   if (fd_ >= 0) close(std::exchange(fd_, -1));
-  again_timer_.Start(kDialAgain);
+  retry_timer_.Start(kDialRetryDelay);
   return true;
 }
 
-void Stream::DialAgain() {
-  if (dialling_ && !Dial()) End(Reason::kConnectFailed);
+void Stream::RetryDial() {
+  if (dialing_ && !Dial()) End(Reason::kConnectFailed);
 }
 
 Stream::~Stream() {
-  if (open()) Release(Reason::kShutdown);
+  if (open()) CloseSocket(Reason::kShutdown);
 }
 
-// What the system takes at once needs no buffer: that others, who don't read, have used up the pool must not
-// cost this peer its answer.
+// Sends what the kernel accepts immediately without a pool buffer, so that a pool exhausted by peers that
+// don't read does not end this connection.
 void Stream::Write(std::string_view bytes) {
-  if (connected() && out_.empty()) bytes.remove_prefix(SendAtOnce(bytes));
-  if (!out_.Append(bytes)) return End(Reason::kNoMemory);
-  if (connected()) WriteSome();
+  if (connected() && send_queue_.empty()) bytes.remove_prefix(SendImmediately(bytes));
+  if (!send_queue_.Append(bytes)) return End(Reason::kNoMemory);
+  if (connected()) Flush();
 }
 
 void Stream::Close(Reason reason) {
-  if (open()) Release(reason);
+  if (open()) CloseSocket(reason);
 }
 
-void Stream::FinishWriting(Reason as) {
-  if (connected() && !std::exchange(finished_, as)) shutdown(fd_, SHUT_WR);
+void Stream::FinishWriting(Reason logged_reason) {
+  if (connected() && !std::exchange(finish_reason_, logged_reason)) shutdown(fd_, SHUT_WR);
 }
 
 void Stream::PauseReading(bool pause) {
-  paused_ = pause;
-  if (connected()) Watch();
+  reading_paused_ = pause;
+  if (connected()) UpdateWatch();
 }
 
-void Stream::Watch() {
-  const int wanted = (paused_ ? 0 : EV_READ) | (out_.empty() ? 0 : EV_WRITE);
-  io_.Start(fd_, wanted);
+void Stream::UpdateWatch() {
+  const int events = (reading_paused_ ? 0 : EV_READ) | (send_queue_.empty() ? 0 : EV_WRITE);
+  watch_.Start(fd_, events);
 }
 
 void Stream::OnIo(int events) {
-  if (dialling_) {
+  if (dialing_) {
     int error = 0;
     socklen_t size = sizeof error;
     if (getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size) != 0) error = errno;
-    if (error != 0 && LacksForAMoment(error)) {
-      io_.Forget();
+    if (error != 0 && IsLocalShortage(error)) {
+      watch_.StopBeforeClose();
       close(std::exchange(fd_, -1));
-      return again_timer_.Start(kDialAgain);
+      return retry_timer_.Start(kDialRetryDelay);
     }
-    refused_ = error == ECONNREFUSED;
+    connection_refused_ = error == ECONNREFUSED;
     if (error != 0) return End(Reason::kConnectFailed);
-    dialling_ = false;
+    dialing_ = false;
     dial_timer_.Stop();
-    Watch();
+    UpdateWatch();
     owner_.OnConnected();
-    if (open() && !out_.empty()) WriteSome();
+    if (open() && !send_queue_.empty()) Flush();
     return;
   }
-  if ((events & EV_READ) != 0) ReadSome();
-  if (open() && (events & EV_WRITE) != 0) WriteSome();
+  if ((events & EV_READ) != 0) ReadOnce();
+  if (open() && (events & EV_WRITE) != 0) Flush();
 }
 
-// Reads without the pool: that it is used up by others must not end a connection.
-void Stream::ReadSome() {
+// Reads into a buffer on the stack, so that an exhausted pool does not end the connection.
+void Stream::ReadOnce() {
   std::array<char, Buffer::kSize> bytes;
   const ssize_t n = recv(fd_, bytes.data(), bytes.size(), 0);
   if (n > 0) {
-    received_ += static_cast<std::uint64_t>(n);
+    bytes_received_ += static_cast<std::uint64_t>(n);
     owner_.OnData({bytes.data(), static_cast<std::size_t>(n)});
   } else if (n == 0) {
     End(Reason::kPeerClosed);
   } else if (errno == ENOMEM || errno == ENOBUFS) {
-    Pause();
+    PauseAfterShortage();
   } else if (errno != EAGAIN && errno != EINTR) {
     End(Reason::kPeerReset);
   }
 }
 
-// Guards against a busy loop while the system lacks memory: the descriptor stays ready meanwhile.
-void Stream::Pause() {
-  io_.Stop();
-  dial_timer_.Start(kCallAgain);
+// Avoids a busy loop while the system lacks memory, as the descriptor stays ready meanwhile.
+void Stream::PauseAfterShortage() {
+  watch_.Stop();
+  dial_timer_.Start(kShortagePause);
 }
 
 Stream::Unread Stream::Peek() const {
   if (!connected()) return open() ? Unread::kNothing : Unread::kEnd;
-  char first;
-  const ssize_t n = recv(fd_, &first, 1, MSG_PEEK | MSG_DONTWAIT);
+  char byte;
+  const ssize_t n = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0) return Unread::kBytes;
   if (n < 0 && errno == EAGAIN) return Unread::kNothing;
-  const bool failed_for_a_moment = n < 0 && (errno == EINTR || errno == ENOMEM || errno == ENOBUFS);
-  if (!failed_for_a_moment) return Unread::kEnd;
-  // The look itself failed: what is there must not be taken for nothing.
+  const bool peek_failed = n < 0 && (errno == EINTR || errno == ENOMEM || errno == ENOBUFS);
+  if (!peek_failed) return Unread::kEnd;
+  // The call itself failed: pending bytes must not be reported as nothing.
   int bytes = 0;
   if (ioctl(fd_, FIONREAD, &bytes) == 0 && bytes > 0) return Unread::kBytes;
-  return Polled(fd_, POLLIN) != 0 ? Unread::kEnd : Unread::kNothing;
+  return PollNow(fd_, POLLIN) != 0 ? Unread::kEnd : Unread::kNothing;
 }
 
 Micros Stream::SinceLastReceived() const {
@@ -215,77 +221,79 @@
   socklen_t size = sizeof info;
   if (!connected() || getsockopt(fd_, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
   if (size < offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv) return 0;
-  const Micros ago = static_cast<Micros>(info.tcpi_last_data_recv) * 1'000;
-  return ago <= kMostUnread ? ago : 0;
+  const Micros age = static_cast<Micros>(info.tcpi_last_data_recv) * 1'000;
+  return age <= kMaxPlausibleAge ? age : 0;
 }
 
 bool Stream::PeerClosed() const {
   const Unread unread = Peek();
   if (unread != Unread::kBytes) return unread == Unread::kEnd;
-  return (Polled(fd_, POLLRDHUP) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  return (PollNow(fd_, POLLRDHUP) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 void Stream::ReadAllPending() {
-  // As often as calls fail for a moment, and no more: the rest is read in its turn.
-  constexpr int kMostReads = 64;
-  for (int n = 0; n < kMostReads && connected() && !paused_ && Peek() != Unread::kNothing; ++n) ReadSome();
+  // The limit covers repeated failures of the calls; the loop reads what remains later.
+  constexpr int kMaxReads = 64;
+  for (int n = 0; n < kMaxReads && connected() && !reading_paused_ && Peek() != Unread::kNothing; ++n)
+    ReadOnce();
 }
 
 bool Stream::ReadPending() {
   if (Peek() != Unread::kBytes) return false;
-  ReadSome();
-  return true;  // also where the read failed for a moment: the bytes are there
+  ReadOnce();
+  return true;  // also where the read failed on a shortage: the bytes are still there
 }
 
-// How much left. An error is left to the next try, which sees it again.
-std::size_t Stream::SendAtOnce(std::string_view bytes) {
-  std::size_t left = 0;
-  while (left < bytes.size()) {
-    const ssize_t n = send(fd_, bytes.data() + left, bytes.size() - left, MSG_NOSIGNAL);
+// Returns the number of bytes sent. An error is not handled here; the next attempt gets it again.
+std::size_t Stream::SendImmediately(std::string_view bytes) {
+  std::size_t sent = 0;
+  while (sent < bytes.size()) {
+    const ssize_t n = send(fd_, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
     if (n < 0 && errno == EINTR) continue;
     if (n <= 0) break;
-    left += static_cast<std::size_t>(n);
+    sent += static_cast<std::size_t>(n);
   }
-  sent_ += left;
-  return left;
+  bytes_sent_ += sent;
+  return sent;
 }
 
-void Stream::WriteSome() {
-  while (!out_.empty()) {
-    const auto front = out_.Front();
+void Stream::Flush() {
+  while (!send_queue_.empty()) {
+    const auto front = send_queue_.Front();
     const ssize_t n = send(fd_, front.data(), front.size(), MSG_NOSIGNAL);
     if (n > 0) {
-      sent_ += static_cast<std::uint64_t>(n);
-      out_.Drop(static_cast<std::size_t>(n));
+      bytes_sent_ += static_cast<std::uint64_t>(n);
+      send_queue_.Drop(static_cast<std::size_t>(n));
     } else if (errno == EINTR) {
       continue;
     } else if (errno == EAGAIN) {
-      return Watch();
+      return UpdateWatch();
     } else if (errno == ENOBUFS || errno == ENOMEM) {
-      return Pause();
+      return PauseAfterShortage();
     } else {
       return End(Reason::kPeerReset);
     }
   }
-  Watch();
+  UpdateWatch();
   owner_.OnSent();
 }
 
 void Stream::End(Reason reason) {
-  Release(finished_.value_or(reason));
+  CloseSocket(finish_reason_.value_or(reason));
   owner_.OnEnd(reason);
 }
 
-void Stream::Release(Reason reason) {
+void Stream::CloseSocket(Reason reason) {
   dial_timer_.Stop();
-  again_timer_.Stop();
-  io_.Forget();
+  retry_timer_.Stop();
+  watch_.StopBeforeClose();
   if (fd_ >= 0) close(fd_);
   fd_ = -1;
-  dialling_ = false;
-  if (shared_.log_connections)
-    log::Event(log::Level::kInfo, "conn",
-               {{"with", label_, true}, {"end", Code(reason)}, {"in", received_}, {"out", sent_}});
+  dialing_ = false;
+  if (context_.log_connections)
+    log::Event(
+        log::Level::kInfo, "conn",
+        {{"with", label_, true}, {"end", Code(reason)}, {"in", bytes_received_}, {"out", bytes_sent_}});
 }
 
 }  // namespace heronway::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,5 @@
-// One TCP connection: reads into pool buffers, queues what is written, and logs one line when it ends.
+// A non-blocking TCP connection: passes received bytes to its owner, queues outgoing bytes in pool buffers,
+// and logs one line when it ends.
 #ifndef HERONWAY_NET_STREAM_H_
 #define HERONWAY_NET_STREAM_H_
 
@@ -17,91 +18,98 @@
 
 using Address = sockaddr_in;
 
-// "10.0.0.4:8080" to an address; nothing where it cannot be read. There is no DNS.
+// Parses an IPv4 address with port such as "10.0.0.4:8080"; nullopt where it is invalid. Names are not
+// resolved.
 std::optional<Address> ParseAddress(std::string_view text);
 std::string ToText(const Address& address);
 bool SameAddress(const Address& a, const Address& b);
 
-// What all connections share.
+// What all connections share. Must outlive them.
 struct StreamContext {
   Loop& loop;
   BufferPool& pool;
   bool log_connections = true;
 };
 
+// A failure that only means a momentary shortage on this machine (descriptors, ports, memory, a route) does
+// not end the connection; the call is repeated.
 class Stream {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void OnConnected() {}                     // the connection that was dialled is there
-    virtual void OnData(std::string_view bytes) = 0;  // good for the call only
-    virtual void OnSent() {}                          // all that was written has left
-    virtual void OnEnd(Reason reason) = 0;            // last call; not made for an owner's own Close
+    virtual void OnConnected() {}                     // the outgoing connection is established
+    virtual void OnData(std::string_view bytes) = 0;  // `bytes` is valid during the call only
+    virtual void OnSent() {}                          // the send queue has become empty
+    virtual void OnEnd(Reason reason) = 0;            // the last call; not made after the owner's own Close
   };
 
-  // Takes over an accepted socket.
-  Stream(StreamContext& shared, int fd, std::string label, Owner& owner);
-  // Dials. A dial that fails at once is told from the loop, like any other. Where this machine lacks
-  // something for it for a moment (a descriptor, a port, memory, a route), it is tried again until
-  // `dial_timeout` is over.
-  Stream(StreamContext& shared, const Address& to, Micros dial_timeout, std::string label, Owner& owner);
+  // Takes ownership of an accepted socket. `label`: the peer in the log.
+  Stream(StreamContext& context, int fd, std::string label, Owner& owner);
+  // Connects to `to`. An immediate failure is reported from the loop, as any other. Where this machine is
+  // briefly short of something (a descriptor, a port, memory, a route), the attempt is repeated until
+  // `dial_timeout` (microseconds) has passed.
+  Stream(StreamContext& context, const Address& to, Micros dial_timeout, std::string label, Owner& owner);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // The owner must look at `open()` after any call that writes: a broken connection ends within it.
+  // Queues or sends the bytes. The owner must check `open()` after any call that writes, as it may find the
+  // connection broken and end it.
   void Write(std::string_view bytes);
+  // Closes without a call of OnEnd.
   void Close(Reason reason);
-  // Says that no more will be written, and goes on reading. `as` is what the log says once the peer ends it.
-  void FinishWriting(Reason as);
-  // Stops reading while the owner cannot take more; the end of the connection then goes unseen as well.
+  // Shuts down the sending side and keeps reading. `logged_reason` is logged when the peer ends the
+  // connection.
+  void FinishWriting(Reason logged_reason);
+  // Stops or resumes reading, for an owner that cannot accept more data. While reading is paused, the end
+  // of the connection is not noticed either.
   void PauseReading(bool pause);
-  // What has come and waits for the loop's turn to be read: the peer's end shows only behind the last byte.
+  // What is ready to be read and not read yet. kEnd is only returned once no bytes are left before the end.
   enum class Unread : std::uint8_t { kNothing, kBytes, kEnd };
   Unread Peek() const;
-  // The peer has ended it, or its sending side, whether or not bytes before that are still unread.
+  // Whether the peer has closed the connection or its sending side, even if earlier bytes are still unread.
   bool PeerClosed() const;
-  // Reads what has come and waits for the loop's turn. False: no bytes have.
+  // Reads pending bytes without waiting for the loop. Returns false where none are pending.
   bool ReadPending();
-  // Reads all of it, the peer's end included.
+  // Reads all pending bytes, and the peer's end of the connection.
   void ReadAllPending();
 
-  // How long ago the last bytes reached this machine, whether or not they were read at once; 0 where the
-  // system does not tell.
+  // Microseconds since the last bytes arrived at this machine, whether or not they have been read; 0 where
+  // the system does not report it.
   Micros SinceLastReceived() const;
 
-  // The dial was refused: nobody listens at its address.
-  bool connection_refused() const { return refused_; }
+  // Whether the peer refused the connection because nothing listens at its address.
+  bool connection_refused() const { return connection_refused_; }
 
-  bool open() const { return fd_ >= 0 || dialling_; }
-  bool connected() const { return open() && !dialling_; }
-  bool all_sent() const { return out_.empty(); }
+  bool open() const { return fd_ >= 0 || dialing_; }
+  bool connected() const { return open() && !dialing_; }
+  bool all_sent() const { return send_queue_.empty(); }
 
  private:
   bool Dial();
-  void DialAgain();
-  void Watch();
-  void Pause();
+  void RetryDial();
+  void UpdateWatch();
+  void PauseAfterShortage();
   void OnIo(int events);
-  void ReadSome();
-  std::size_t SendAtOnce(std::string_view bytes);
-  void WriteSome();
+  void ReadOnce();
+  std::size_t SendImmediately(std::string_view bytes);
+  void Flush();
   void End(Reason reason);
-  void Release(Reason reason);
+  void CloseSocket(Reason reason);
 
-  StreamContext& shared_;
+  StreamContext& context_;
   Owner& owner_;
   std::string label_;
   int fd_ = -1;
-  bool dialling_ = false, paused_ = false, refused_ = false;
-  std::optional<Reason> finished_;  // it was told that no more comes, and why
-  DescriptorWatch io_;
-  Timer dial_timer_;  // while dialling: its limit; afterwards: a pause behind a call that failed for a moment
-  Timer again_timer_;  // the next try of a dial that this machine could not make
-  Address to_{};
-  ByteQueue out_;
-  std::uint64_t received_ = 0, sent_ = 0;
+  bool dialing_ = false, reading_paused_ = false, connection_refused_ = false;
+  std::optional<Reason> finish_reason_;  // set once the sending side is shut down
+  DescriptorWatch watch_;
+  Timer dial_timer_;   // while dialing: the time limit; afterwards: the pause after a shortage
+  Timer retry_timer_;  // until the next attempt of a dial that failed for a shortage
+  Address peer_address_{};
+  ByteQueue send_queue_;
+  std::uint64_t bytes_received_ = 0, bytes_sent_ = 0;
 };
 
 }  // namespace heronway::net
