--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -58,7 +58,7 @@
   std::filesystem::remove(folder + "/alone.db");
   auto store = std::make_unique<SqliteStore>(
       SqliteStore::Settings{folder + "/alone.db", {"a"}, std::vector<ClassRules>(1), 0},
-      SqliteStore::Use::kServe);
+      SqliteStore::Mode::kServe);
   std::mutex lock;
   std::condition_variable changed;
   Writer writer(std::move(store), {}, [&] {
@@ -285,7 +285,7 @@
       const std::string folder = mkdtemp(name), file = folder + "/faktory.db";
       {
         const std::vector<std::string> names = {"preview", "save", "once"};
-        SqliteStore store({file, names, std::vector<ClassRules>(3), 0}, SqliteStore::Use::kServe);
+        SqliteStore store({file, names, std::vector<ClassRules>(3), 0}, SqliteStore::Mode::kServe);
         std::vector<Record> batch;
         for (int i = 0; i < jobs; ++i) {
           Record r;
--- a/src/cluster/copies/commands.cpp
+++ b/src/cluster/copies/commands.cpp
@@ -77,8 +77,8 @@
     if (!contents) throw std::runtime_error(group + ": its snapshot cannot be read; take another copy");
     durable::SqliteStore store(
         {to, contents->classes, std::vector<durable::ClassRules>(contents->classes.size()), 0},
-        durable::SqliteStore::Use::kServe);
-    store.Refill(contents->clock_broke, contents->jobs, {});
+        durable::SqliteStore::Mode::kServe);
+    store.ReplaceContents(contents->clock_stepped_at, contents->jobs, {});
     durable::Applied applied = contents->applied;
     std::size_t batches = 0;
     for (const log::EntryPtr& e : g.log.entries) {
@@ -87,7 +87,7 @@
       const auto records = batch ? durable::DecodeRecords(batch->records) : std::nullopt;
       if (!records) throw std::runtime_error(group + ": an entry cannot be read; take another copy");
       if (!IsEffective(*batch, applied)) continue;  // proposed twice, or by one that held the group no more
-      applied.life = batch->epoch;
+      applied.epoch = batch->epoch;
       applied.number = batch->number;
       store.Append(*records);
       ++batches;
--- a/src/cluster/copies/log_content.cpp
+++ b/src/cluster/copies/log_content.cpp
@@ -56,16 +56,16 @@
 
 bool IsEffective(const Batch& batch, const durable::Applied& at) {
   if (batch.number == 0) return true;
-  if ((batch.epoch & kFencedEpoch) == 0) return batch.epoch != at.life || batch.number > at.number;
-  return batch.epoch == at.life && batch.number > at.number;
+  if ((batch.epoch & kFencedEpoch) == 0) return batch.epoch != at.epoch || batch.number > at.number;
+  return batch.epoch == at.epoch && batch.number > at.number;
 }
 
 std::string Encode(const StoreContents& contents) {
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   out.pack_array(7);
-  out.pack(kFormatVersion).pack(contents.classes).pack(contents.clock_broke);
-  out.pack(contents.applied.index).pack(contents.applied.life).pack(contents.applied.number);
+  out.pack(kFormatVersion).pack(contents.classes).pack(contents.clock_stepped_at);
+  out.pack(contents.applied.index).pack(contents.applied.epoch).pack(contents.applied.number);
   out.pack_array(static_cast<std::uint32_t>(contents.jobs.size()));
   for (const auto& [id, job] : contents.jobs) {
     out.pack_array(2);
@@ -79,9 +79,9 @@
   return Decode<StoreContents>(bytes, [](pack::ArrayReader& in) {
     StoreContents d;
     d.classes = in.Next().as<std::vector<std::string>>();
-    d.clock_broke = in.Next().as<durable::Micros>();
+    d.clock_stepped_at = in.Next().as<durable::Micros>();
     d.applied.index = in.Next().as<std::uint64_t>();
-    d.applied.life = in.Next().as<std::uint64_t>();
+    d.applied.epoch = in.Next().as<std::uint64_t>();
     d.applied.number = in.Next().as<std::uint64_t>();
     const msgpack::object& jobs = in.Next();
     pack::ArrayReader::Require(jobs.type == msgpack::type::ARRAY);
@@ -98,14 +98,14 @@
 
 StoreContents ReadContents(durable::SqliteStore& store) {
   StoreContents contents;
-  durable::JobBook book(store.classes());
-  store.Read({[&](durable::Micros at) { book.set_clock_broke(at); },
-              [&](const std::string& id, durable::Job job) { return book.Restore(id, std::move(job)); },
-              [&](const durable::Record& r) { return book.Apply(r); },
+  durable::JobTable table(store.class_rules());
+  store.Read({[&](durable::Micros at) { table.set_clock_stepped_at(at); },
+              [&](const std::string& id, durable::Job job) { return table.Restore(id, std::move(job)); },
+              [&](const durable::Record& r) { return table.Apply(r); },
               [&](const durable::Applied& at) { contents.applied = at; }});
-  contents.classes = store.names();
-  contents.clock_broke = book.clock_broke();
-  for (const auto& [id, job] : book.jobs()) contents.jobs.emplace_back(id, job);
+  contents.classes = store.class_names();
+  contents.clock_stepped_at = table.clock_stepped_at();
+  for (const auto& [id, job] : table.jobs()) contents.jobs.emplace_back(id, job);
   return contents;
 }
 
@@ -125,12 +125,12 @@
       throw durable::StoreError(durable::StoreError::Kind::kCorrupt,
                                 "copies: the snapshot of " + store.file() + " cannot be read");
     // Guards jobs of another site's classes, or another order of them.
-    if (contents->classes != store.names())
+    if (contents->classes != store.class_names())
       throw durable::StoreError(durable::StoreError::Kind::kOther,
                                 "copies: they are of other classes than here");
     applied = contents->applied;
     applied.index = section.snapshot->index;
-    store.Refill(contents->clock_broke, contents->jobs, applied);
+    store.ReplaceContents(contents->clock_stepped_at, contents->jobs, applied);
   }
   log::Index index = section.first;
   for (const log::EntryPtr& e : section.entries) {
--- a/src/cluster/copies/log_content.h
+++ b/src/cluster/copies/log_content.h
@@ -33,7 +33,7 @@
 struct StoreContents {
   std::vector<std::string> classes;  // names, in their order
   durable::Applied applied;          // where the store stood in its log
-  durable::Micros clock_broke = 0;
+  durable::Micros clock_stepped_at = 0;
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
 std::string Encode(const StoreContents& contents);
--- a/src/cluster/copies/reconfiguration.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -120,7 +120,7 @@
   g.bytes_since_snapshot = 0;
   compactor_ = std::thread([this, name = g.name, settings = g.store] {
     try {
-      durable::SqliteStore store(settings, durable::SqliteStore::Use::kLook);
+      durable::SqliteStore store(settings, durable::SqliteStore::Mode::kInspect);
       const StoreContents contents = ReadContents(store);
       const std::lock_guard hold(results_lock_);
       compacted_snapshots_.emplace_back(name, log::Compact{contents.applied.index, Encode(contents)});
--- a/src/cluster/copies/replica_manager.cpp
+++ b/src/cluster/copies/replica_manager.cpp
@@ -126,10 +126,10 @@
   } else if (std::holds_alternative<log::Restore>(effect)) {
     if (!g.own) return;
     const auto contents = DecodeStoreContents(g.log->snapshot()->data);
-    if (contents) g.last_epoch = contents->applied.life;
+    if (contents) g.last_epoch = contents->applied.epoch;
     // Another has held it while this process stood still, and has made a snapshot since.
     if (g.channel) return StopServing(g);
-    if (!contents || contents->applied.life != g.stored_epoch) return;
+    if (!contents || contents->applied.epoch != g.stored_epoch) return;
     // This scheduler's own snapshot, and its disk has forgotten it.
     g.outdated = true;
     heronway::log::Event(heronway::log::Level::kError, "copies",
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -20,7 +20,7 @@
 #include "src/cluster/copies/replica_store.h"
 #include "src/cluster/copies/replicated_store.h"
 #include "src/cluster/copies/report_forwarder.h"
-#include "src/durable/held.h"
+#include "src/durable/transferred_jobs.h"
 
 namespace heronway::cluster::copies {
 
@@ -54,12 +54,13 @@
   // What is held for others goes to the fronts, and comes back. `own`: it is this scheduler's, which another
   // held for a while.
   struct FrontHooks {
-    std::function<void(durable::Held)> serve;
+    std::function<void(durable::TransferredJobs)> serve;
     std::function<void(const std::string& group, const std::string& front, bool own)> stop;
     // Nothing of it is in hand; from the first asking on nothing is begun.
     std::function<bool(const std::string& group, const std::string& front)> idle;
     // A worker's word that reached another. `told`: whether it is stored. False: no such job is held here.
-    std::function<bool(const std::string& front, core::HopCallback news, std::function<void(bool)> told)> report;
+    std::function<bool(const std::string& front, core::HopCallback news, std::function<void(bool)> told)>
+        report;
     // Whether a job is known here; told perhaps within.
     std::function<void(const std::string& front, const JobName& name, std::function<void(LookupResult)> told)>
         find;
@@ -161,7 +162,7 @@
   struct LoadResult {
     std::string group, fault;
     std::uint64_t epoch = 0;
-    durable::Held held;
+    durable::TransferredJobs held;
     std::unique_ptr<durable::SqliteStore> store;  // null: `fault` tells why
   };
   std::deque<LoadTask> load_queue_;
--- a/src/cluster/copies/replicated_store.h
+++ b/src/cluster/copies/replicated_store.h
@@ -59,10 +59,10 @@
                   std::uint64_t epoch);
   void Append(const std::vector<durable::Record>& records) override;
   void Read(const Reader& reader) override { store_->Read(reader); }
-  std::size_t Fold(std::size_t most, std::size_t keep) override { return store_->Fold(most, keep); }
-  std::vector<durable::Order> TakeOrders() override { return store_->TakeOrders(); }
+  std::size_t Compact(std::size_t most, std::size_t keep) override { return store_->Compact(most, keep); }
+  std::vector<durable::OperatorCommand> TakeCommands() override { return store_->TakeCommands(); }
   std::uint64_t bytes() const override { return store_->bytes(); }
-  std::uint64_t most_bytes() const override { return store_->most_bytes(); }
+  std::uint64_t max_bytes() const override { return store_->max_bytes(); }
 
   // Puts what was committed into a store that stands at `applied`. False: it was there already.
   static bool Apply(durable::SqliteStore& store, durable::Applied& applied,
--- a/src/cluster/copies/takeover.cpp
+++ b/src/cluster/copies/takeover.cpp
@@ -21,7 +21,7 @@
   g.epoch = kFencedEpoch | static_cast<std::uint64_t>(boot_time_ + static_cast<Micros>(++claims_));
   Batch take{g.epoch, 0, {}};
   durable::Record broke;
-  broke.kind = durable::Kind::kClock;
+  broke.kind = durable::RecordKind::kClockSteppedBack;
   broke.at = net::Loop::WallClock();
   // Guards a keyed job's window: times of before are by another's clock, if another held it.
   const bool others = !g.own || !g.opening || g.last_epoch != g.stored_epoch;
@@ -92,11 +92,11 @@
         // What is left of an earlier time counts for nothing: the log has everything.
         for (const char* end : {"", "-wal", "-shm"}) std::remove((task.store.file + end).c_str());
       }
-      auto store = std::make_unique<durable::SqliteStore>(task.store, durable::SqliteStore::Use::kServe);
+      auto store = std::make_unique<durable::SqliteStore>(task.store, durable::SqliteStore::Mode::kServe);
       CatchUp(*store, task.section);
       StoreContents contents = ReadContents(*store);
       out.held.jobs = std::move(contents.jobs);
-      out.held.clock_broke = contents.clock_broke;
+      out.held.clock_stepped_at = contents.clock_stepped_at;
       out.store = std::move(store);
     } catch (const std::exception& e) {
       out.fault = e.what();
@@ -132,7 +132,7 @@
         {{"group", g->name}, {"state", g->own ? "held again" : "taken over"}, {"jobs", r.held.jobs.size()}});
     r.held.group = g->name;
     r.held.front = FrontOf(g->name);
-    r.held.own = g->own;
+    r.held.returned = g->own;
     r.held.store = std::make_unique<ReplicatedStore>(std::move(r.store), g->channel, g->epoch);
     if (front_hooks_.serve) front_hooks_.serve(std::move(r.held));
   }
@@ -174,7 +174,7 @@
     first->configuration.voters = {made.self};
     first->data = Encode(contents);
     made.log.snapshot = first;
-    store->Refill(contents.clock_broke, contents.jobs, {1, 0, 0});
+    store->ReplaceContents(contents.clock_stepped_at, contents.jobs, {1, 0, 0});
     g = &AddGroup(std::move(made), false);
   }
   g->own = g->opening = true;
@@ -182,11 +182,11 @@
   if (settings_.takeover_delay > 0 && !restored)
     own_fronts_.insert_or_assign(front,
                                  OwnFront{g->name, FormerReplicas(settings_.name, data_lost, started_at_)});
-  g->store = {store->file(), store->names(), store->classes(), 0};
-  g->stored_epoch = before.life;
+  g->store = {store->file(), store->class_names(), store->class_rules(), 0};
+  g->stored_epoch = before.epoch;
   if (g->last_epoch == 0 && g->log->snapshot() != nullptr) {
     if (const auto contents = DecodeStoreContents(g->log->snapshot()->data))
-      g->last_epoch = contents->applied.life;
+      g->last_epoch = contents->applied.epoch;
   }
   Micros last_warning_at = shared_.loop.Now();
   while (!g->channel || g->log->role() != log::Role::kLeader) {
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -111,15 +111,15 @@
     Fault(in.Path("folder"), "is no folder that is there: " + s.folder);
   s.lease = in.Millis("lease_ms", s.lease, 500 * kMs, kDay);
   s.grace = in.Millis("grace_ms", s.grace, 100 * kMs, kDay);
-  s.keep = in.Millis("keep_ms", s.keep, kSecond, 365 * kDay);
+  s.keep_finished = in.Millis("keep_ms", s.keep_finished, kSecond, 365 * kDay);
   const Section keep_of = in.In("keep_class_ms");
   for (const std::string& name : in.Get("keep_class_ms").getMemberNames())
-    s.keep_of[name] = keep_of.Millis(name.c_str(), s.keep, kSecond, 365 * kDay);
+    s.keep_by_class[name] = keep_of.Millis(name.c_str(), s.keep_finished, kSecond, 365 * kDay);
   s.keep_failed = in.Millis("keep_failed_ms", s.keep_failed, kSecond, 365 * kDay);
-  s.most_in_hand = static_cast<int>(in.Whole("most_in_hand", s.most_in_hand, 4, 100'000));
-  s.most_open = in.Whole("most_open", s.most_open, 1, 100'000'000);
-  s.most_leases = static_cast<int>(in.Whole("most_leases", s.most_leases, 1, 10'000));
-  s.most_store_mb = in.Whole("most_store_mb", s.most_store_mb, 1, 1 << 20);
+  s.max_active = static_cast<int>(in.Whole("most_in_hand", s.max_active, 4, 100'000));
+  s.max_unfinished = in.Whole("most_open", s.max_unfinished, 1, 100'000'000);
+  s.max_leases = static_cast<int>(in.Whole("most_leases", s.max_leases, 1, 10'000));
+  s.max_store_mb = in.Whole("most_store_mb", s.max_store_mb, 1, 1 << 20);
   in.NoOthers();
   return s;
 }
--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -13,10 +13,11 @@
   std::vector<Settled> settled;
   std::vector<Persist> parts;  // a home each; nearly always one
   for (auto& r : records_) {
-    if (r.kind == durable::Kind::kAnswered || r.kind == durable::Kind::kDiscarded)
-      settled.push_back(Settled{r.id, r.home});
-    auto part = std::find_if(parts.begin(), parts.end(), [&r](const Persist& p) { return p.home == r.home; });
-    if (part == parts.end()) part = parts.insert(parts.end(), Persist{{}, r.home});
+    if (r.kind == durable::RecordKind::kFinished || r.kind == durable::RecordKind::kDiscarded)
+      settled.push_back(Settled{r.id, r.store_id});
+    auto part =
+        std::find_if(parts.begin(), parts.end(), [&r](const Persist& p) { return p.store_id == r.store_id; });
+    if (part == parts.end()) part = parts.insert(parts.end(), Persist{{}, r.store_id});
     part->records.push_back(std::move(r));
   }
   records_.clear();
@@ -25,49 +26,49 @@
 }
 
 void Reducer::RoundOver(const Job& job, AnswerKind kind, Micros wait) {
-  using End = durable::Keeper::RoundEnd;
+  using End = durable::JobManager::DispatchResult;
   const auto id = job.id;
-  keeper_->RoundOver(now_, id,
-                     kind == AnswerKind::kServed     ? End::kServed
-                     : kind == AnswerKind::kShed     ? End::kShed
-                     : kind == AnswerKind::kRejected ? End::kRejected
-                                                     : End::kFailed,
-                     wait, records_);
+  job_manager_->DispatchEnded(now_, id,
+                              kind == AnswerKind::kServed     ? End::kServed
+                              : kind == AnswerKind::kShed     ? End::kShed
+                              : kind == AnswerKind::kRejected ? End::kRejected
+                                                              : End::kFailed,
+                              wait, records_);
   if (job.round) {
     --rounds_;
   } else if (kind == AnswerKind::kShed) {
     // The client is told that nothing was done: so nothing is kept of it.
-    keeper_->Discard(now_, id, records_);
+    job_manager_->Discard(now_, id, records_);
   } else if (kind == AnswerKind::kFailed) {
-    keeper_->GiveUp(now_, id, records_);
+    job_manager_->FailWaiting(now_, id, records_);
   }
   Flush();
 }
 
 void Reducer::OfferRounds() {
   while (drain_began_ < 0) {
-    auto id = keeper_->Next(now_, records_);
+    auto id = job_manager_->NextToDispatch(now_, records_);
     if (!id) break;
     Flush();
-    const int home = keeper_->HomeOf(*id);
-    effects_->push_back(StartRound{std::move(*id), home});
+    const int store_id = job_manager_->StoreIdOf(*id);
+    effects_->push_back(StartRound{std::move(*id), store_id});
   }
   Flush();
-  const Micros next = drain_began_ < 0 ? keeper_->next(now_) : -1;
+  const Micros next = drain_began_ < 0 ? job_manager_->next_wakeup(now_) : -1;
   if (next >= 0 && (keeper_wake_ == 0 || next < keeper_wake_)) due_.push({keeper_wake_ = next, 0, 4, 0});
 }
 
 void Reducer::LookAtDurable() {
   keeper_wake_ = 0;
   std::vector<std::string> lapsed;
-  keeper_->Due(now_, records_, lapsed);
+  job_manager_->ProcessDue(now_, records_, lapsed);
   for (const auto& id : lapsed) {
     const auto it = by_id_.find(id);
     const auto job = it == by_id_.end() ? jobs_.end() : jobs_.find(it->second);
     if (job == jobs_.end()) continue;
     const Ticket ticket = it->second;
     for (std::size_t i = 0; i < job->second.hops.size(); ++i) {
-      if (job->second.hops[i].epoch == keeper_->book().Find(id)->epoch)
+      if (job->second.hops[i].epoch == job_manager_->table().Find(id)->epoch)
         CallOff(ticket, static_cast<int>(i), Result::kTimeout);
     }
   }
@@ -82,7 +83,7 @@
   ++counters_.failed;
   ++CountsOf(job.job_class).errored;
   if (job.tenant != TenantTable::kNone) ++tenants_.At(job.tenant).failed;
-  effects_->push_back(Answer{ticket, AnswerKind::kFailed, 0, {}, false, job.deadline, job.home});
+  effects_->push_back(Answer{ticket, AnswerKind::kFailed, 0, {}, false, job.deadline, job.store_id});
 }
 
 // At a planned stop: what no worker has yet waits in the store.
@@ -99,7 +100,7 @@
     --held_;
     --rounds_;
     Release(job.id);
-    keeper_->RoundOver(now_, job.id, durable::Keeper::RoundEnd::kLeft, 0, records_);
+    job_manager_->DispatchEnded(now_, job.id, durable::JobManager::DispatchResult::kWithdrawn, 0, records_);
     Tell(pebblenotch::ClientGone{ticket});
     ForgetIfOver(ticket);
   }
@@ -107,8 +108,8 @@
 
 namespace {
 
-durable::Keeper::Said SaidBy(CallbackState news) {
-  using Said = durable::Keeper::Said;
+durable::JobManager::WorkerReport SaidBy(CallbackState news) {
+  using Said = durable::JobManager::WorkerReport;
   switch (news) {
     case CallbackState::kStarted:
       return Said::kStarted;
@@ -132,41 +133,42 @@
 // another.
 void Reducer::TellKeeper(const Job& job, int hop, const HopCallback& e) {
   if (e.state == CallbackState::kFailed && !job.round) return;
-  keeper_->Word(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.state), e.result,
-                records_);
+  job_manager_->HandleReport(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.state),
+                             e.result, records_);
 }
 
 // Word of a job that no round is on for: its holder had it from before a crash, or lost it meanwhile.
 void Reducer::OrphanNews(const HopCallback& e) {
-  const auto epoch = keeper_->EpochOf(e.id, e.from);
-  if (epoch == 0 || keeper_->InHand(e.id) ||
-      !keeper_->Word(now_, e.id, epoch, SaidBy(e.state), e.result, records_))
+  const auto epoch = job_manager_->CurrentEpoch(e.id, e.from);
+  if (epoch == 0 || job_manager_->IsActive(e.id) ||
+      !job_manager_->HandleReport(now_, e.id, epoch, SaidBy(e.state), e.result, records_))
     ++counters_.late_callbacks;
 }
 
-void Reducer::On(JobSubmitted& e) { keeper_->Take(now_, e.id, std::move(e.task), false, records_); }
+void Reducer::On(JobSubmitted& e) { job_manager_->Accept(now_, e.id, std::move(e.task), false, records_); }
 
 void Reducer::On(RoundInvalid& e) {
-  keeper_->RoundOver(now_, e.id, durable::Keeper::RoundEnd::kRejected, 0, records_);
+  job_manager_->DispatchEnded(now_, e.id, durable::JobManager::DispatchResult::kRejected, 0, records_);
 }
 
 void Reducer::On(TargetHeartbeat& e) {
-  if (keeper_) keeper_->Alive(now_, e.target, records_);
+  if (job_manager_) job_manager_->RenewLeases(now_, e.target, records_);
 }
 
 void Reducer::On(OperatorOrder& e) {
-  if (e.order.verb == "retry") keeper_->Retry(now_, e.order.id, records_);
-  if (e.order.verb == "discard") keeper_->Discard(now_, e.order.id, records_);
+  if (e.order.verb == "retry") job_manager_->Retry(now_, e.order.id, records_);
+  if (e.order.verb == "discard") job_manager_->Discard(now_, e.order.id, records_);
 }
 
-void Reducer::On(StoreLoaded&) { keeper_->Recovered(now_, records_); }
+void Reducer::On(StoreLoaded&) { job_manager_->FinishRecovery(now_, records_); }
 
 void Reducer::On(JobsAdopted& e) {
-  if (e.first) keeper_->HomeComes();
-  for (auto& [id, job] : e.jobs) keeper_->Adopt(now_, e.home, id, std::move(job), e.clock_broke, records_);
+  if (e.first) job_manager_->BeginAdoption();
+  for (auto& [id, job] : e.jobs)
+    job_manager_->Adopt(now_, e.store_id, id, std::move(job), e.clock_stepped_at, records_);
 }
 
-void Reducer::On(HomeClosing& e) { keeper_->Close(e.home); }
+void Reducer::On(HomeClosing& e) { job_manager_->CloseStore(e.store_id); }
 
 // Guards against a second answer, and a second run, when another looks after these jobs: what it decides is
 // not known here, so clients are told that the outcome is not known, and nothing is recorded. Hops that are
@@ -174,7 +176,7 @@
 void Reducer::On(HomeLost& e) {
   std::vector<Ticket> tickets;
   for (const auto& [ticket, job] : jobs_) {
-    if (job.durable && job.home == e.home) tickets.push_back(ticket);
+    if (job.durable && job.store_id == e.store_id) tickets.push_back(ticket);
   }
   for (const Ticket ticket : tickets) {
     Job& job = jobs_.at(ticket);
@@ -186,8 +188,8 @@
     ForgetIfOver(ticket);
   }
   std::vector<std::string> ids;
-  keeper_->Drop(e.home, ids);
-  for (auto& id : ids) effects_->push_back(Settled{std::move(id), e.home});
+  job_manager_->DropStore(e.store_id, ids);
+  for (auto& id : ids) effects_->push_back(Settled{std::move(id), e.store_id});
 }
 
 }  // namespace heronway::core
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -6,11 +6,11 @@
 namespace heronway::core {
 
 Reducer::Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit,
-                 const limits::Settings& limits, std::unique_ptr<durable::Keeper> keeper)
+                 const limits::Settings& limits, std::unique_ptr<durable::JobManager> job_manager)
     : settings_(settings),
       stop_times_(StopTimes::From(settings)),
       module_(settings, seed, now),
-      keeper_(std::move(keeper)),
+      job_manager_(std::move(job_manager)),
       now_(now),
       take_limit_(take_limit) {
   if (limits.enabled) limits_ = std::make_unique<limits::Limits>(limits, settings, seed ^ 0x6c696d697473ULL);
@@ -20,7 +20,7 @@
   now_ = std::max(now_, now);
   effects_ = &effects;
   std::visit([this](auto& e) { On(e); }, event);
-  if (keeper_) OfferRounds();
+  if (job_manager_) OfferRounds();
   // Durable jobs that are at work need no answer before the end, only some time to have one.
   const bool rounds_over = rounds_ == 0 || now_ >= drain_began_ + stop_times_.answers_due;
   if (drain_began_ >= 0 && !drained_ && pending() == 0 && rounds_over &&
@@ -74,8 +74,9 @@
       const auto to = holders_.find(push->worker);
       const auto epoch =
           drain_began_ < 0 || !job.round
-              ? keeper_->Lease(now_, job.id,
-                               to != holders_.end() ? to->second : durable::Holder{push->worker}, records_)
+              ? job_manager_->Lease(now_, job.id,
+                                    to != holders_.end() ? to->second : durable::LeaseHolder{push->worker},
+                                    records_)
               : std::nullopt;
       // Guards what may have run in an earlier round, or an earlier life, against a worker that knows nothing
       // of it.
@@ -87,7 +88,7 @@
     if (take_limit_ > 0 && take_limit_ < limit) due_.push({now_ + take_limit_, push->id, hop, 0, true});
     ++counters_.hops;
     ++CountsOf(job.job_class).sends;
-    effects_->push_back(SendHop{push->id, hop, push->worker, now_ + limit, job.durable, job.home});
+    effects_->push_back(SendHop{push->id, hop, push->worker, now_ + limit, job.durable, job.store_id});
   } else if (const auto* refuse = std::get_if<pebblenotch::Shed>(&action)) {
     const auto it = jobs_.find(refuse->id);
     const bool told = limits_ && it != jobs_.end() && !it->second.answered;
@@ -153,8 +154,8 @@
   job.round = e.round;
   job.durable = e.round || e.task.has_value();
   rounds_ += e.round ? 1 : 0;
-  if (e.task) job.durable = keeper_->Take(now_, job.id, std::move(*e.task), true, records_);
-  job.home = job.durable ? keeper_->HomeOf(job.id) : 0;
+  if (e.task) job.durable = job_manager_->Accept(now_, job.id, std::move(*e.task), true, records_);
+  job.store_id = job.durable ? job_manager_->StoreIdOf(job.id) : 0;
   if (!e.tenant.empty()) ++tenants_.At(job.tenant = tenants_.IndexOf(e.tenant)).taken;
   if (limits_) {
     job.client = limits_->HashOf(e.client, job.job_class);
@@ -181,7 +182,7 @@
   const auto it = by_id_.find(e.id);
   const auto job = it == by_id_.end() ? jobs_.end() : jobs_.find(it->second);
   const auto late = [this] { ++counters_.late_callbacks; };
-  if (job == jobs_.end() && keeper_) return OrphanNews(e);
+  if (job == jobs_.end() && job_manager_) return OrphanNews(e);
   if (job == jobs_.end()) return late();
   const Ticket ticket = it->second;
   auto& hops = job->second.hops;
@@ -274,7 +275,7 @@
 void Reducer::On(RoutesChanged& e) {
   if (limits_ && e.kind != ListKind::kFailed)
     limits_->RoutesChanged(now_, e.entries, e.kind != ListKind::kChanges);
-  if (keeper_) {
+  if (job_manager_) {
     for (const auto& entry : e.entries) holders_[entry.id] = {entry.id, entry.zone, entry.cell};
   }
   Tell(pebblenotch::Membership{e.kind, e.entries});
@@ -346,7 +347,7 @@
   drain_began_ = now_;
   due_.push({now_ + stop_times_.earliest_exit, 0, 1, 0});
   due_.push({now_ + stop_times_.answers_due, 0, 2, 0});
-  if (keeper_) LeaveIdleRounds();
+  if (job_manager_) LeaveIdleRounds();
 }
 
 // Guards the first rule at a planned stop: the program may be killed soon after, and whoever waits for an
@@ -368,7 +369,7 @@
     FinalAnswer(ticket, AnswerKind::kFailed, 0, {});  // changes nothing where the module has answered
     ForgetIfOver(ticket);
   }
-  if (keeper_) LeaveIdleRounds();
+  if (job_manager_) LeaveIdleRounds();
 }
 
 Reducer::Hop* Reducer::FindHop(Ticket ticket, int hop) {
@@ -386,7 +387,7 @@
   h->called_off_as = as;
   ++counters_.cancelled;
   const Job& job = jobs_.at(ticket);
-  effects_->push_back(CancelHop{ticket, hop, h->target, job.id, job.durable, job.home});
+  effects_->push_back(CancelHop{ticket, hop, h->target, job.id, job.durable, job.store_id});
 }
 
 void Reducer::EndHop(Ticket ticket, int hop, Result result, std::optional<Report> report, bool finished) {
@@ -397,10 +398,10 @@
   if (limits_) limits_->HopEnded(now_, jobs_.at(ticket).job_class, result, now_ - h.sent, held_ > hops_out_);
   ++counters_.hop_results[static_cast<int>(result)];
   if (const Job& job = jobs_.at(ticket); job.durable) {
-    keeper_->HopOver(
-        now_, job.id, h.epoch,
-        pebblenotch::NeverRan(result) ? durable::Keeper::HopEnd::kNeverRan : durable::Keeper::HopEnd::kLost,
-        records_);
+    job_manager_->HopEnded(now_, job.id, h.epoch,
+                           pebblenotch::NeverRan(result) ? durable::JobManager::HopResult::kNeverRan
+                                                         : durable::JobManager::HopResult::kLost,
+                           records_);
   }
   pebblenotch::Outcome outcome;
   outcome.id = ticket;
@@ -434,9 +435,9 @@
   Release(it->second.id);
   const bool durable = it->second.durable;
   const Micros by = it->second.deadline;
-  const int home = it->second.home;
+  const int store_id = it->second.store_id;
   if (durable) RoundOver(it->second, kind, retry_after);
-  effects_->push_back(Answer{ticket, kind, retry_after, std::move(result), durable, by, home});
+  effects_->push_back(Answer{ticket, kind, retry_after, std::move(result), durable, by, store_id});
   ForgetIfOver(ticket);
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -25,7 +25,7 @@
 #include "src/core/invariants.h"
 #include "src/core/stop_times.h"
 #include "src/core/tenants.h"
-#include "src/durable/keeper.h"
+#include "src/durable/job_manager.h"
 #include "src/limits/limits.h"
 
 namespace heronway::core {
@@ -39,15 +39,15 @@
 
 // ---- events
 struct RequestArrived {
-  pebblenotch::Request request;       // its `id` is the ticket; its `deadline` is when the client gives up
-  std::string id;                     // the name that the wire gives it; no two requests held have the same
-  Micros hop_timeout = 0;             // the longest that one hop may take; 0: until the client gives up
-  int max_hops = 0;                   // the client wants no more than this; 0: as many as the site allows
-  std::string client;                 // by which a repeat is known again; empty: by nothing
-  bool client_names_job = true;       // `client` names the job itself, so that to see it again is a repeat
-  std::string tenant;                 // whose it is, for the counts; empty: nobody's
-  std::optional<durable::Task> task;  // durable: taken with this, and its first round begins
-  bool round = false;                 // durable: another round of a job that was taken; no client waits
+  pebblenotch::Request request;  // its `id` is the ticket; its `deadline` is when the client gives up
+  std::string id;                // the name that the wire gives it; no two requests held have the same
+  Micros hop_timeout = 0;        // the longest that one hop may take; 0: until the client gives up
+  int max_hops = 0;              // the client wants no more than this; 0: as many as the site allows
+  std::string client;            // by which a repeat is known again; empty: by nothing
+  bool client_names_job = true;  // `client` names the job itself, so that to see it again is a repeat
+  std::string tenant;            // whose it is, for the counts; empty: nobody's
+  std::optional<durable::JobSpec> task;  // durable: taken with this, and its first round begins
+  bool round = false;                    // durable: another round of a job that was taken; no client waits
   bool no_capacity = false;  // the front cannot hold it: it is refused at once, with a time to come back
 };
 enum class CallbackState : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
@@ -100,7 +100,7 @@
 // Of durable jobs only. Such a job is known by its id throughout; a ticket is one round of it.
 struct JobSubmitted {  // taken without a client that waits for its outcome
   std::string id;
-  durable::Task task;
+  durable::JobSpec task;
 };
 struct RoundInvalid {  // the front can make no request of it any more
   std::string id;
@@ -109,7 +109,7 @@
   TargetId target = 0;
 };
 struct OperatorOrder {  // of an operator's tool
-  durable::Order order;
+  durable::OperatorCommand order;
 };
 struct StoreLoaded {};  // what was stored is there: the first event
 struct Cordon {         // an operator's drain (`on`), or its end: no new clients, nothing else changes
@@ -128,18 +128,18 @@
   Report report;
   Micros age = 0;
 };
-// Of durable jobs that another scheduler held, or another process of this one (see durable::Keeper's homes).
+// Of durable jobs that another scheduler held, or another process of this one (see durable::JobManager's homes).
 struct JobsAdopted {  // part of them; `first`: of a home
-  int home = 0;
+  int store_id = 0;
   bool first = false;
-  durable::Micros clock_broke = 0;  // what ran up to then ran by another's clock
+  durable::Micros clock_stepped_at = 0;  // what ran up to then ran by another's clock
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
 struct HomeClosing {  // they are to be handed back: none begins another round
-  int home = 0;
+  int store_id = 0;
 };
 struct HomeLost {  // they are another's now: nothing of them is answered from here any more
-  int home = 0;
+  int store_id = 0;
 };
 using Event =
     std::variant<RequestArrived, HopCallback, HopAccepted, HopEnded, HopCancelled, ProbeEnded,
@@ -156,7 +156,7 @@
   // told is what is left then.
   Micros until;
   bool durable = false;  // here and below: not before the records so far are stored
-  int home = 0;          // by whose store
+  int store_id = 0;      // by whose store
 };
 struct CancelHop {  // answered by one HopCancelled
   Ticket request;
@@ -164,7 +164,7 @@
   TargetId target;
   std::string id;
   bool durable = false;
-  int home = 0;
+  int store_id = 0;
 };
 struct HopCompleted {  // by its target's call-back: the carrier need not wait for an answer to the hop itself
   Ticket request;
@@ -178,7 +178,7 @@
   std::string result;  // where served, untouched
   bool durable = false;
   Micros by = 0;  // durable: when its client has to have it
-  int home = 0;
+  int store_id = 0;
 };
 struct StartProbe {
   TargetId target;
@@ -193,15 +193,15 @@
 };
 struct Persist {  // to the store, in this order
   std::vector<durable::Record> records;
-  int home = 0;
+  int store_id = 0;
 };
 struct StartRound {  // a round of this job is due: the front makes an RequestArrived of it, or a RoundInvalid
   std::string id;
-  int home = 0;
+  int store_id = 0;
 };
 struct Settled {  // this job has its answer, or is gone: whoever waits for it is told
   std::string id;
-  int home = 0;
+  int store_id = 0;
 };
 using Effect = std::variant<SendHop, CancelHop, HopCompleted, Answer, StartProbe, SubscribeRoutes, WakeAt,
                             Drained, StormChanged, Persist, StartRound, Settled>;
@@ -225,7 +225,7 @@
   // clients are told times of their calendar.
   // `keeper`: of durable jobs, with what was stored in it; null: there are none.
   Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit = 0,
-          const limits::Settings& limits = {}, std::unique_ptr<durable::Keeper> keeper = nullptr);
+          const limits::Settings& limits = {}, std::unique_ptr<durable::JobManager> job_manager = nullptr);
 
   // Takes one event and appends what is to be done about it.
   void Reduce(Micros now, Event event, std::vector<Effect>& effects);
@@ -252,8 +252,10 @@
   const FleetView& fleet() const { return fleet_; }
   const pebblenotch::Dispatcher& module() const { return module_; }  // to look in; changes nothing
   const TenantTable& tenants() const { return tenants_; }
-  const durable::Keeper* keeper() const { return keeper_.get(); }  // null where nothing is durable
-  const limits::Limits* limits() const { return limits_.get(); }   // null where they are off
+  const durable::JobManager* job_manager() const {
+    return job_manager_.get();
+  }                                                               // null where nothing is durable
+  const limits::Limits* limits() const { return limits_.get(); }  // null where they are off
 
   // An answer must reach the client before it gives up; what the link and a busy core may take comes off.
   static constexpr Micros kAnswerMargin = 30'000;
@@ -289,7 +291,7 @@
     bool answered = false;
     bool away = false;                    // its client is
     bool durable = false, round = false;  // `round`: durable, and no client waits
-    int home = 0;                         // durable
+    int store_id = 0;                     // durable
     std::vector<Hop> hops;
   };
   struct Due {
@@ -353,9 +355,9 @@
   StopTimes stop_times_;
   pebblenotch::Dispatcher module_;
   std::unique_ptr<limits::Limits> limits_;
-  std::unique_ptr<durable::Keeper> keeper_;
-  durable::Records records_;                               // not handed to the store yet
-  std::unordered_map<TargetId, durable::Holder> holders_;  // durable: where targets stand
+  std::unique_ptr<durable::JobManager> job_manager_;
+  durable::Records records_;                                    // not handed to the store yet
+  std::unordered_map<TargetId, durable::LeaseHolder> holders_;  // durable: where targets stand
   Micros keeper_wake_ = 0;
   Micros now_ = 0, take_limit_;
   std::vector<Effect>* effects_ = nullptr;
--- a/src/durable/codec.cpp
+++ b/src/durable/codec.cpp
@@ -7,7 +7,7 @@
 
 using pack::Packer;
 
-void Pack(Packer& out, const Holder& h) {
+void Pack(Packer& out, const LeaseHolder& h) {
   out.pack_array(3);
   out.pack(h.worker).pack(h.zone).pack(h.cell);
 }
@@ -16,7 +16,7 @@
   out.pack_array(14);
   out.pack(static_cast<int>(r.kind)).pack(r.id).pack(r.at).pack(r.job_class).pack(r.epoch);
   Pack(out, r.holder);
-  out.pack(r.until).pack(static_cast<int>(r.answer)).pack(r.text).pack(r.alias).pack(r.lane);
+  out.pack(r.until).pack(static_cast<int>(r.outcome)).pack(r.text).pack(r.alias).pack(r.lane);
   out.pack(r.retries).pack(r.key).pack(r.priority);
 }
 
@@ -24,17 +24,17 @@
  public:
   using pack::ArrayReader::ArrayReader;
   template <typename T>
-  Members& Take(T& value) {
+  Members& Get(T& value) {
     Next().convert(value);
     return *this;
   }
   template <typename T>
-  Members& TakeEnum(T& value, T last) {
+  Members& GetEnum(T& value, T last) {
     value = Enum(last);
     return *this;
   }
-  Members& Take(Holder& h) {
-    Members(Next(), 3).Take(h.worker).Take(h.zone).Take(h.cell);
+  Members& Get(LeaseHolder& h) {
+    Members(Next(), 3).Get(h.worker).Get(h.zone).Get(h.cell);
     return *this;
   }
 };
@@ -42,9 +42,14 @@
 Record ToRecord(const msgpack::object& o) {
   Record r;
   Members in(o, 14);
-  in.TakeEnum(r.kind, Kind::kClock).Take(r.id).Take(r.at).Take(r.job_class).Take(r.epoch).Take(r.holder);
-  in.Take(r.until).TakeEnum(r.answer, Answer::kFailed).Take(r.text).Take(r.alias).Take(r.lane);
-  in.Take(r.retries).Take(r.key).Take(r.priority);
+  in.GetEnum(r.kind, RecordKind::kClockSteppedBack)
+      .Get(r.id)
+      .Get(r.at)
+      .Get(r.job_class)
+      .Get(r.epoch)
+      .Get(r.holder);
+  in.Get(r.until).GetEnum(r.outcome, Outcome::kFailed).Get(r.text).Get(r.alias).Get(r.lane);
+  in.Get(r.retries).Get(r.key).Get(r.priority);
   return r;
 }
 
@@ -54,9 +59,9 @@
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
     Members in(whole.get(), 2);
-    int form = 0;
-    in.Take(form);
-    if (form != kForm) return std::nullopt;
+    int format_version = 0;
+    in.Get(format_version);
+    if (format_version != kFormatVersion) return std::nullopt;
     return read(in);
   } catch (const std::exception&) {  // cut, not MessagePack, or of other types
     return std::nullopt;
@@ -69,7 +74,7 @@
   msgpack::sbuffer bytes;
   Packer out(bytes);
   out.pack_array(2);
-  out.pack(kForm);
+  out.pack(kFormatVersion);
   out.pack_array(static_cast<std::uint32_t>(records.size()));
   for (const Record& r : records) Pack(out, r);
   return {bytes.data(), bytes.size()};
@@ -79,20 +84,20 @@
   msgpack::sbuffer bytes;
   Packer out(bytes);
   out.pack_array(20);
-  out.pack(kForm).pack(j.job_class).pack(static_cast<int>(j.state)).pack(j.epoch);
+  out.pack(kFormatVersion).pack(j.job_class).pack(static_cast<int>(j.state)).pack(j.epoch);
   Pack(out, j.holder);
-  out.pack(j.until).pack(static_cast<int>(j.answer)).pack(j.text).pack(j.why).pack(j.alias).pack(j.lane);
-  out.pack(j.retries).pack(j.failures).pack(j.priority).pack(j.key).pack(j.taken).pack(j.last);
+  out.pack(j.until).pack(static_cast<int>(j.outcome)).pack(j.text).pack(j.error).pack(j.alias).pack(j.lane);
+  out.pack(j.retries).pack(j.failures).pack(j.priority).pack(j.key).pack(j.accepted_at).pack(j.updated_at);
   out.pack(j.may_have_run_since);
-  Pack(out, j.first);
-  out.pack(j.ran_before);
+  Pack(out, j.first_holder);
+  out.pack(j.may_have_run_before);
   return {bytes.data(), bytes.size()};
 }
 
 std::optional<std::vector<Record>> DecodeRecords(std::string_view bytes) {
   return Decode<std::vector<Record>>(bytes, [](Members& in) {
     std::vector<msgpack::object> rows;
-    in.Take(rows);
+    in.Get(rows);
     std::vector<Record> records;
     records.reserve(rows.size());
     for (const auto& row : rows) records.push_back(ToRecord(row));
@@ -103,10 +108,10 @@
 std::optional<Job> DecodeJob(std::string_view bytes) {
   return Decode<Job>(bytes, [](Members& in) {
     Job j;
-    in.Take(j.job_class).TakeEnum(j.state, State::kAnswered).Take(j.epoch).Take(j.holder).Take(j.until);
-    in.TakeEnum(j.answer, Answer::kFailed).Take(j.text).Take(j.why).Take(j.alias).Take(j.lane);
-    in.Take(j.retries).Take(j.failures).Take(j.priority).Take(j.key).Take(j.taken).Take(j.last);
-    in.Take(j.may_have_run_since).Take(j.first).Take(j.ran_before);
+    in.Get(j.job_class).GetEnum(j.state, JobState::kFinished).Get(j.epoch).Get(j.holder).Get(j.until);
+    in.GetEnum(j.outcome, Outcome::kFailed).Get(j.text).Get(j.error).Get(j.alias).Get(j.lane);
+    in.Get(j.retries).Get(j.failures).Get(j.priority).Get(j.key).Get(j.accepted_at).Get(j.updated_at);
+    in.Get(j.may_have_run_since).Get(j.first_holder).Get(j.may_have_run_before);
     return j;
   });
 }
--- a/src/durable/codec.h
+++ b/src/durable/codec.h
@@ -8,11 +8,11 @@
 #include <string_view>
 #include <vector>
 
-#include "src/durable/job_book.h"
+#include "src/durable/job_table.h"
 
 namespace heronway::durable {
 
-inline constexpr int kForm = 1;
+inline constexpr int kFormatVersion = 1;
 
 std::string Encode(const std::vector<Record>& records);
 std::string Encode(const Job& job);
--- a/src/durable/tool.h
+++ b/src/durable/job_commands.h
@@ -1,6 +1,6 @@
 // `heronway jobs`: looks into a store of durable jobs and leaves words for the program that serves from it.
-#ifndef HERONWAY_DURABLE_TOOL_H_
-#define HERONWAY_DURABLE_TOOL_H_
+#ifndef HERONWAY_DURABLE_JOB_COMMANDS_H_
+#define HERONWAY_DURABLE_JOB_COMMANDS_H_
 
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
   std::string state;      // waiting, retrying, held, done, failed; empty: all
   std::string job_class;  // by name; empty: all
   std::string lane;
-  int most = 1000;  // rows
+  int max_rows = 1000;  // rows
   bool json = false;
 };
 
@@ -21,7 +21,7 @@
 int ShowJob(const std::string& file, const std::string& id, bool json);
 // Takes effect at once, or, where a program serves from the store, when that has taken the order (it looks
 // four times a second). Waits for that up to two seconds and says what came of it.
-int OrderJobs(const std::string& file, const std::string& verb, const std::vector<std::string>& ids);
+int RunJobCommand(const std::string& file, const std::string& verb, const std::vector<std::string>& ids);
 // A JSON object a line, with the job as it was taken.
 int ExportJobs(const std::string& file);
 int VerifyStore(const std::string& file);
@@ -29,4 +29,4 @@
 
 }  // namespace heronway::durable
 
-#endif  // HERONWAY_DURABLE_TOOL_H_
+#endif  // HERONWAY_DURABLE_JOB_COMMANDS_H_
--- a/src/durable/store.h
+++ b/src/durable/store.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "src/durable/job_book.h"
+#include "src/durable/job_table.h"
 
 namespace heronway::durable {
 
@@ -30,7 +30,7 @@
 // Up to where a store has what its replicated log says: the entry, and the last batch of it
 // (`cluster.copies`).
 struct Applied {
-  std::uint64_t index = 0, life = 0, number = 0;
+  std::uint64_t index = 0, epoch = 0, number = 0;
 };
 
 class Store {
@@ -41,19 +41,19 @@
   // Everything, in an order in which a book can take it: the jobs that were folded, then the journal. Throws
   // StoreError that names the row at fault.
   struct Reader {
-    std::function<void(Micros clock_broke)> clock;
+    std::function<void(Micros clock_stepped_at)> clock;
     std::function<bool(const std::string& id, Job job)> job;
     std::function<bool(const Record& record)> record;  // false: it can't follow
     std::function<void(const Applied& applied)> applied = nullptr;
   };
   virtual void Read(const Reader& reader) = 0;
   // Folds up to so many of the journal's records into the jobs. How many are left over `keep`, roughly.
-  virtual std::size_t Fold(std::size_t most, std::size_t keep) = 0;
+  virtual std::size_t Compact(std::size_t max_records, std::size_t keep_rows) = 0;
   // Words that came from tools since, and are taken out.
-  virtual std::vector<Order> TakeOrders() = 0;
+  virtual std::vector<OperatorCommand> TakeCommands() = 0;
   // Bytes in use, and the bound on them; 0: none.
   virtual std::uint64_t bytes() const = 0;
-  virtual std::uint64_t most_bytes() const = 0;
+  virtual std::uint64_t max_bytes() const = 0;
 };
 
 }  // namespace heronway::durable
--- a/src/durable/held.h
+++ b/src/durable/transferred_jobs.h
@@ -1,7 +1,7 @@
 // Durable jobs that come as a whole from another scheduler, or from another process of this one, with the
 // store that keeps them from here on.
-#ifndef HERONWAY_DURABLE_HELD_H_
-#define HERONWAY_DURABLE_HELD_H_
+#ifndef HERONWAY_DURABLE_TRANSFERRED_JOBS_H_
+#define HERONWAY_DURABLE_TRANSFERRED_JOBS_H_
 
 #include <memory>
 #include <string>
@@ -12,15 +12,15 @@
 
 namespace heronway::durable {
 
-struct Held {
+struct TransferredJobs {
   std::string group;  // of copies
   std::string front;
-  bool own = false;  // this scheduler's own, which another looked after meanwhile
+  bool returned = false;  // this scheduler's own, which another looked after meanwhile
   std::unique_ptr<Store> store;
   std::vector<std::pair<std::string, Job>> jobs;
-  Micros clock_broke = 0;  // what may have run up to then ran by another's clock
+  Micros clock_stepped_at = 0;  // what may have run up to then ran by another's clock
 };
 
 }  // namespace heronway::durable
 
-#endif  // HERONWAY_DURABLE_HELD_H_
+#endif  // HERONWAY_DURABLE_TRANSFERRED_JOBS_H_
--- a/src/durable/writer.cpp
+++ b/src/durable/writer.cpp
@@ -8,86 +8,88 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr double kCrowded = 0.9;  // of the store's bound: over it nothing new is taken
+constexpr double kNearLimitShare = 0.9;  // of the store's bound: over it nothing new is taken
 
 }  // namespace
 
-Writer::Writer(std::unique_ptr<Store> store, Settings settings, std::function<void()> changed)
+Writer::Writer(std::unique_ptr<Store> store, Settings settings, std::function<void()> on_change)
     : store_(std::move(store)),
       settings_(settings),
-      changed_(std::move(changed)),
+      on_change_(std::move(on_change)),
       thread_([this] { Run(); }) {}
 
-Writer::~Writer() { End(std::chrono::milliseconds(2'000)); }
+Writer::~Writer() { Stop(std::chrono::milliseconds(2'000)); }
 
-void Writer::End(std::chrono::milliseconds patience) {
+void Writer::Stop(std::chrono::milliseconds timeout) {
   {
-    const std::lock_guard hold(lock_);
-    ending_ = true;
-    give_up_ = Clock::now() + patience;
+    const std::lock_guard lock(mutex_);
+    stopping_ = true;
+    stop_deadline_ = Clock::now() + timeout;
   }
   wake_.notify_one();
   if (thread_.joinable()) thread_.join();
 }
 
-std::uint64_t Writer::Hand(std::vector<Record> records) {
-  if (records.empty()) return handed_;
-  handed_ += records.size();
+std::uint64_t Writer::Enqueue(std::vector<Record> records) {
+  if (records.empty()) return enqueued_;
+  enqueued_ += records.size();
   {
-    const std::lock_guard hold(lock_);
-    waiting_.insert(waiting_.end(), std::make_move_iterator(records.begin()),
+    const std::lock_guard lock(mutex_);
+    pending_.insert(pending_.end(), std::make_move_iterator(records.begin()),
                     std::make_move_iterator(records.end()));
   }
   wake_.notify_one();
-  return handed_;
+  return enqueued_;
 }
 
-std::string Writer::fault() const {
-  const std::lock_guard hold(lock_);
-  return fault_.empty() ? fold_fault_ : fault_;
+std::string Writer::last_error() const {
+  const std::lock_guard lock(mutex_);
+  return write_error_.empty() ? compaction_error_ : write_error_;
 }
 
-std::vector<Order> Writer::TakeOrders() {
-  const std::lock_guard hold(lock_);
-  return std::exchange(orders_, {});
+std::vector<OperatorCommand> Writer::TakeCommands() {
+  const std::lock_guard lock(mutex_);
+  return std::exchange(commands_, {});
 }
 
 Writer::Counts Writer::counts() const {
-  const std::lock_guard hold(lock_);
+  const std::lock_guard lock(mutex_);
   return counts_;
 }
 
 void Writer::Run() {
-  auto look = Clock::now();
+  auto next_poll = Clock::now();
   std::vector<Record> batch;
   for (;;) {
     if (batch.empty()) {
-      std::unique_lock hold(lock_);
+      std::unique_lock lock(mutex_);
       // Folding goes on while nothing waits; a busy journal is folded between commits, by and by.
-      if (to_fold_ == 0) wake_.wait_until(hold, look, [this] { return !waiting_.empty() || ending_; });
-      if (waiting_.size() <= settings_.most_in_commit) {
-        batch.swap(waiting_);
+      if (rows_to_compact_ == 0)
+        wake_.wait_until(lock, next_poll, [this] { return !pending_.empty() || stopping_; });
+      if (pending_.size() <= settings_.max_commit_records) {
+        batch.swap(pending_);
       } else {
-        const auto end = waiting_.begin() + static_cast<std::ptrdiff_t>(settings_.most_in_commit);
-        batch.assign(std::make_move_iterator(waiting_.begin()), std::make_move_iterator(end));
-        waiting_.erase(waiting_.begin(), end);
+        const auto end = pending_.begin() + static_cast<std::ptrdiff_t>(settings_.max_commit_records);
+        batch.assign(std::make_move_iterator(pending_.begin()), std::make_move_iterator(end));
+        pending_.erase(pending_.begin(), end);
       }
-      if (batch.empty() && ending_) return;
+      if (batch.empty() && stopping_) return;
     }
     if (!batch.empty()) {
       if (Write(batch)) {
         batch.clear();
       } else {
-        std::unique_lock hold(lock_);
-        if (ending_ && Clock::now() > give_up_) return;
-        wake_.wait_for(hold, settings_.try_again, [this] { return ending_ && Clock::now() > give_up_; });
+        std::unique_lock lock(mutex_);
+        if (stopping_ && Clock::now() > stop_deadline_) return;
+        wake_.wait_for(lock, settings_.retry_interval,
+                       [this] { return stopping_ && Clock::now() > stop_deadline_; });
         continue;
       }
     }
-    FoldSome();
-    if (Clock::now() >= look) {
-      look = Clock::now() + settings_.look;
-      LookForOrders();
+    CompactIfDue();
+    if (Clock::now() >= next_poll) {
+      next_poll = Clock::now() + settings_.poll_interval;
+      PollCommands();
     }
   }
 }
@@ -97,63 +99,64 @@
   try {
     store_->Append(batch);
   } catch (const StoreError& e) {
-    Failed(e);
+    OnWriteError(e);
     return false;
   }
   const auto took = std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - began).count();
   {
-    const std::lock_guard hold(lock_);
-    fault_.clear();
+    const std::lock_guard lock(mutex_);
+    write_error_.clear();
     failing_.store(false);
     ++counts_.commits;
-    counts_.longest_us = std::max<std::int64_t>(counts_.longest_us, took);
+    counts_.longest_commit_us = std::max<std::int64_t>(counts_.longest_commit_us, took);
   }
-  ++unfolded_;
+  ++rows_since_compaction_;
   stored_.fetch_add(batch.size(), std::memory_order_release);
-  changed_();
+  on_change_();
   return true;
 }
 
 // Many rows at a time: a job that comes and goes within them leaves no trace in the jobs.
-void Writer::FoldSome() {
-  if (to_fold_ == 0 && unfolded_ < settings_.fold_rows) return;
-  unfolded_ = 0;
+void Writer::CompactIfDue() {
+  if (rows_to_compact_ == 0 && rows_since_compaction_ < settings_.compact_rows) return;
+  rows_since_compaction_ = 0;
   try {
-    to_fold_ = store_->Fold(settings_.fold_records, settings_.fold_rows);
-    const std::lock_guard hold(lock_);
-    ++counts_.folds;
-    fold_fault_.clear();
+    rows_to_compact_ = store_->Compact(settings_.compact_records, settings_.compact_rows);
+    const std::lock_guard lock(mutex_);
+    ++counts_.compactions;
+    compaction_error_.clear();
   } catch (const StoreError& e) {
     // Nothing is lost by it but room: the journal grows on, and it is tried again with the next commit.
-    to_fold_ = 0;
-    const std::lock_guard hold(lock_);
-    ++counts_.fold_faults;
-    fold_fault_ = e.what();
+    rows_to_compact_ = 0;
+    const std::lock_guard lock(mutex_);
+    ++counts_.compaction_errors;
+    compaction_error_ = e.what();
   }
 }
 
-void Writer::LookForOrders() {
-  const auto most = store_->most_bytes();
-  crowded_.store(most > 0 && static_cast<double>(store_->bytes()) > kCrowded * static_cast<double>(most));
+void Writer::PollCommands() {
+  const auto max = store_->max_bytes();
+  near_limit_.store(max > 0 &&
+                    static_cast<double>(store_->bytes()) > kNearLimitShare * static_cast<double>(max));
   try {
-    auto came = store_->TakeOrders();
-    if (came.empty()) return;
-    const std::lock_guard hold(lock_);
-    std::move(came.begin(), came.end(), std::back_inserter(orders_));
+    auto commands = store_->TakeCommands();
+    if (commands.empty()) return;
+    const std::lock_guard lock(mutex_);
+    std::move(commands.begin(), commands.end(), std::back_inserter(commands_));
   } catch (const StoreError&) {
     return;  // they stay where they are
   }
-  changed_();
+  on_change_();
 }
 
-void Writer::Failed(const StoreError& e) {
+void Writer::OnWriteError(const StoreError& e) {
   {
-    const std::lock_guard hold(lock_);
-    fault_ = e.what();
+    const std::lock_guard lock(mutex_);
+    write_error_ = e.what();
     failing_.store(true);
-    ++counts_.faults;
+    ++counts_.write_errors;
   }
-  changed_();
+  on_change_();
 }
 
 }  // namespace heronway::durable
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -30,7 +30,7 @@
   return id;
 }
 
-void Front::ReplyWhenStored(Connection& c, std::string line, int home) {
+void Front::ReplyWhenStored(Connection& c, std::string line, int store_id) {
   c.storing = true;
   c.timer.Stop();
   driver_.WhenStored(
@@ -39,7 +39,7 @@
         if (c == nullptr || !c->stream.open() || !std::exchange(c->storing, false)) return;
         c->Send(stored ? line : Error(kUnknown));
       },
-      home);
+      store_id);
 }
 
 // Refuses the client where no job can be taken now.
@@ -56,7 +56,7 @@
   if (!CanTake(c)) return;
   core::JobSubmitted submitted;
   submitted.id = spec.jid;
-  durable::Task& task = submitted.task;
+  durable::JobSpec& task = submitted.task;
   task.job_class = spec.job_class;
   task.text = rest;
   task.lane = spec.queue;
@@ -86,12 +86,12 @@
   if (!CanTake(c)) return;
   const std::string jid = submitted.id;
   driver_.Post(std::move(submitted));
-  ReplyWhenStored(c, Simple("OK"), reducer().keeper()->HomeOf(jid));
+  ReplyWhenStored(c, Simple("OK"), reducer().job_manager()->StoreIdOf(jid));
 }
 
 // The worker hears that its word counts when it is stored: until then it must not forget the job.
 void Front::AckDurable(Connection& c, core::HopCallback news) {
-  if (lead_word_ && reducer().keeper()->book().Find(news.id) == nullptr) {
+  if (lead_word_ && reducer().job_manager()->table().Find(news.id) == nullptr) {
     c.storing = true;
     c.timer.Stop();
     return lead_word_(news, [this, at = c.weak_from_this()](cluster::copies::ForwardOutcome outcome) {
@@ -102,15 +102,15 @@
     });
   }
   const auto late = reducer().counters().late_callbacks;
-  const int home = reducer().keeper()->HomeOf(news.id);
+  const int store_id = reducer().job_manager()->StoreIdOf(news.id);
   driver_.Post(std::move(news));
   late_acks_ += reducer().counters().late_callbacks - late;
-  ReplyWhenStored(c, Simple("OK"), home);
+  ReplyWhenStored(c, Simple("OK"), store_id);
 }
 
 // A round of a stored job: a request as any other, but that nobody waits for it here.
 void Front::Do(core::StartRound& e) {
-  const durable::Job* stored = reducer().keeper()->book().Find(e.id);
+  const durable::Job* stored = reducer().job_manager()->table().Find(e.id);
   core::RequestArrived arrived;
   auto owned = std::make_unique<Job>();
   Job& job = *owned;
@@ -149,20 +149,20 @@
 }
 
 void Front::InfoOfStore(Json::Value& faktory) const {
-  using Place = durable::JobBook::Place;
-  const durable::Keeper& keeper = *reducer().keeper();
-  const durable::JobBook& book = keeper.book();
-  const auto size = [&book](Place place) { return Json::UInt64(book.Count(place)); };
-  const auto later = std::min(keeper.scheduled(), book.Count(Place::kWaiting));
+  using Status = durable::JobTable::Status;
+  const durable::JobManager& job_manager = *reducer().job_manager();
+  const durable::JobTable& table = job_manager.table();
+  const auto size = [&table](Status place) { return Json::UInt64(table.Count(place)); };
+  const auto later = std::min(job_manager.delayed(), table.Count(Status::kWaiting));
   Json::Value& queues = faktory["queues"] = Json::objectValue;
-  for (const auto& [lane, waiting] : book.lanes()) queues[lane] = Json::UInt64(waiting);
+  for (const auto& [lane, waiting] : table.waiting_per_lane()) queues[lane] = Json::UInt64(waiting);
   faktory["tasks"]["Scheduled"]["size"] = Json::UInt64(later);
-  faktory["tasks"]["Retries"]["size"] = size(Place::kRetrying);
-  faktory["tasks"]["Busy"]["size"] = size(Place::kHeld);
-  faktory["tasks"]["Dead"]["size"] = size(Place::kFailed);
-  faktory["total_enqueued"] = size(Place::kWaiting);
-  faktory["total_processed"] = Json::UInt64(keeper.counters().done);
-  faktory["total_failures"] = Json::UInt64(keeper.counters().failed + keeper.counters().retries);
+  faktory["tasks"]["Retries"]["size"] = size(Status::kRetrying);
+  faktory["tasks"]["Busy"]["size"] = size(Status::kLeased);
+  faktory["tasks"]["Dead"]["size"] = size(Status::kFailed);
+  faktory["total_enqueued"] = size(Status::kWaiting);
+  faktory["total_processed"] = Json::UInt64(job_manager.counters().done);
+  faktory["total_failures"] = Json::UInt64(job_manager.counters().failed + job_manager.counters().retries);
 }
 
 }  // namespace heronway::faktory
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -59,8 +59,8 @@
       driver_(
           shared.loop, FleetOf(config.module.settings), config.seed + 1, 0, options.limits,
           [this](core::Effect& e) { Execute(e); },
-          durable::Open(options.durable, "faktory", config.classes, FleetOf(config.module.settings),
-                        config.seed + 3),
+          durable::OpenStore(options.durable, "faktory", config.classes, FleetOf(config.module.settings),
+                             config.seed + 3),
           "faktory"),
       listener_(
           shared.loop, faktory.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
@@ -234,11 +234,11 @@
 void Front::Push(Connection& c, std::string_view rest) {
   faktory::Job spec = ParseJob(rest, config_.classes, rules_ != nullptr, durable());
   if (durable()) {
-    if (const auto* known = reducer().keeper()->book().Find(spec.jid); known != nullptr) {
+    if (const auto* known = reducer().job_manager()->table().Find(spec.jid); known != nullptr) {
       if (rules_ == nullptr && known->job_class != spec.job_class)
         throw Fault("jid is in use by a job of another jobtype");
       ++joined_;
-      return ReplyWhenStored(c, Simple("OK"), reducer().keeper()->HomeOf(spec.jid));
+      return ReplyWhenStored(c, Simple("OK"), reducer().job_manager()->StoreIdOf(spec.jid));
     }
   }
   ForgetOldAnswers();
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -80,8 +80,8 @@
   void TakeDurable(Connection& c, core::JobSubmitted submitted);
   bool CanTake(Connection& c);
   void AckDurable(Connection& c, core::HopCallback news);
-  void ReplyWhenStored(Connection& c, std::string line, int home);
-  bool durable() const { return reducer().keeper() != nullptr; }
+  void ReplyWhenStored(Connection& c, std::string line, int store_id);
+  bool durable() const { return reducer().job_manager() != nullptr; }
   core::TargetId TargetOf(const std::string& wid);
   void Fetch(Connection& c, std::string_view rest);
   void Ack(Connection& c, const Command& command);
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -20,12 +20,13 @@
 }
 
 // The request as it would go to a target: what is read again for a round after a restart.
-durable::Task Front::TaskOf(const Message& message, const pebblenotch::Request& request, std::string alias) {
+durable::JobSpec Front::TaskOf(const Message& message, const pebblenotch::Request& request,
+                               std::string alias) {
   Headers headers;
   for (const char* name : kPassedOn) {
     if (const auto* value = message.Find(name)) headers.emplace_back(name, *value);
   }
-  durable::Task task;
+  durable::JobSpec task;
   task.job_class = request.job_class;
   task.text = WriteRequest(message.method, message.target, headers, message.body);
   task.alias = std::move(alias);
@@ -36,17 +37,17 @@
 
 bool Front::IsDurable(const Pending& pending) const {
   if (!durable() || pending.message.Find("Idempotency-Key") == nullptr) return false;
-  return reducer().keeper()->InHand(pending.id);
+  return reducer().job_manager()->IsActive(pending.id);
 }
 
 // Whether the job is over, and its client was told so.
 bool Front::AnswerFromStore(Ingress& in, const std::string& id) {
-  const durable::Job* job = reducer().keeper()->book().Find(id);
+  const durable::Job* job = reducer().job_manager()->table().Find(id);
   if (job == nullptr) {
     in.Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "shed\n");
-  } else if (job->state != durable::State::kAnswered) {
+  } else if (job->state != durable::JobState::kFinished) {
     return false;
-  } else if (job->answer == durable::Answer::kDone) {
+  } else if (job->outcome == durable::Outcome::kDone) {
     in.Answer(200, {}, job->text);
   } else {
     in.Answer(502, {}, "failed\n");
@@ -69,7 +70,7 @@
                  if (result.status != cluster::copies::LookupStatus::kUnknown)
                    return AnswerFromElsewhere(*client, result);
                  // It may have come meanwhile, from another client or another scheduler.
-                 if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
+                 if (const auto* job = reducer().job_manager()->table().FindByAlias(alias); job != nullptr)
                    return Join(*client, message, std::string(*job), arrived.request.job_class);
                  if (reducer().IsKnown(arrived.id)) return client->Answer(409, {}, "Req-Id is in use\n");
                  Admit(*client, message, arrived, alias);
@@ -106,18 +107,18 @@
   joined.patience->Start(std::max<Micros>(1, patience - core::Reducer::kAnswerMargin));
   joined_by_job_.emplace(id, in.ticket);
   // An answer that is in the book may not be on the disk yet.
-  const int home = reducer().keeper()->HomeOf(id);
+  const int store_id = reducer().job_manager()->StoreIdOf(id);
   driver_.WhenStored(
       [this, id](bool stored) {
         // What no majority has may be answered otherwise by another: it is told when it is stored, or not at
         // all.
         if (!stored && driver_.copied()) return;
         core::Settled now{id};
-        if (const auto* job = reducer().keeper()->book().Find(id);
-            job == nullptr || job->state == durable::State::kAnswered)
+        if (const auto* job = reducer().job_manager()->table().Find(id);
+            job == nullptr || job->state == durable::JobState::kFinished)
           Do(now);
       },
-      home);
+      store_id);
 }
 
 void Front::ComeAgain(std::map<core::Ticket, Joined>::iterator it) {
@@ -143,8 +144,8 @@
     const auto row = joined_by_job_.find(e.id);
     if (row == joined_by_job_.end()) return;
     const auto it = joined_.find(row->second);
-    const auto* job = reducer().keeper()->book().Find(e.id);
-    if (job != nullptr && job->state != durable::State::kAnswered) {
+    const auto* job = reducer().job_manager()->table().Find(e.id);
+    if (job != nullptr && job->state != durable::JobState::kFinished) {
       ComeAgain(it);
       continue;
     }
@@ -165,7 +166,7 @@
   return true;
 }
 
-void Front::AnswerWhenStored(Ingress& in, int home) {
+void Front::AnswerWhenStored(Ingress& in, int store_id) {
   if (!MayWait(in)) return;
   driver_.WhenStored(
       [at = in.weak_from_this(), ticket = in.ticket](bool stored) {
@@ -174,7 +175,7 @@
         if (stored) return client->Answer(200, {}, {});
         client->Answer(503, {{"Retry-After", Seconds(kComeAgain)}}, "not stored yet; say it again\n");
       },
-      home);
+      store_id);
 }
 
 // One that nobody has is over and forgotten: its worker is told so as ever.
@@ -190,7 +191,7 @@
 
 // A round without a client: what was stored goes out as it came.
 void Front::Do(core::StartRound& e) {
-  const durable::Job* job = reducer().keeper()->book().Find(e.id);
+  const durable::Job* job = reducer().job_manager()->table().Find(e.id);
   Reader reader(HTTP_REQUEST, kMostBody);
   std::size_t used = 0;
   if (job == nullptr || reader.Feed(job->text, used) != ReadState::kWhole)
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -79,7 +79,8 @@
       driver_(
           shared.loop, config.module.settings, config.seed, kTakeLimit, options.limits,
           [this](core::Effect& e) { Execute(e); },
-          durable::Open(options.durable, "http", config.classes, config.module.settings, config.seed + 4),
+          durable::OpenStore(options.durable, "http", config.classes, config.module.settings,
+                             config.seed + 4),
           "http"),
       watch_(shared, routes_, config.discovery, config.seed + 10, config.module.settings.stop_sending_within,
              [this](core::RoutesChanged change) {
@@ -319,7 +320,7 @@
   news.id = root["id"].asString();
   auto from = routes_.IdOf(root["from"].asString());
   // After a crash a call-back may come before discovery has told who it is from.
-  if (!from && durable() && reducer().keeper()->book().Find(news.id) != nullptr)
+  if (!from && durable() && reducer().job_manager()->table().Find(news.id) != nullptr)
     from = discovery::RouteTable::UsualIdOf(root["from"].asString());
   // Guards a job of the other process on the same address while one replaces the other: a call-back that
   // reached the process which never held the job is refused and its connection closed, so that the worker
@@ -329,7 +330,7 @@
     return in.Answer(503, {}, "not held here\n");
   }
   const bool elsewhere = lead_word_ && known != kStates.end() && !reducer().IsPending(news.id) &&
-                         reducer().keeper()->book().Find(news.id) == nullptr;
+                         reducer().job_manager()->table().Find(news.id) == nullptr;
   if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
   if (known == kStates.end() || !from) return in.Answer(200, {}, {});
   news.from = *from;
@@ -357,9 +358,9 @@
   }
   if (elsewhere) return LeadNews(in, news);
   // A worker may forget what it has told once that is stored.
-  const int home = reducer().keeper()->HomeOf(news.id);
+  const int store_id = reducer().job_manager()->StoreIdOf(news.id);
   driver_.Post(std::move(news));
-  AnswerWhenStored(in, home);
+  AnswerWhenStored(in, store_id);
 }
 
 // The client has gone, or its connection was ended here.
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -124,14 +124,15 @@
   static void ReadExtra(const Message& message, pebblenotch::Request& request);
   match::Service::Judgement Judge(const Ingress& in, const Message& message);
   void TakeNews(Ingress& in, const Message& message);
-  bool durable() const { return reducer().keeper() != nullptr; }
+  bool durable() const { return reducer().job_manager() != nullptr; }
   void Join(Ingress& in, const Message& message, const std::string& job, int job_class);
-  static durable::Task TaskOf(const Message& message, const pebblenotch::Request& request, std::string alias);
+  static durable::JobSpec TaskOf(const Message& message, const pebblenotch::Request& request,
+                                 std::string alias);
   static std::string AliasOf(const std::string& class_name, const std::string& key);
   bool IsDurable(const Pending& pending) const;
   void Leave(std::map<core::Ticket, Joined>::iterator it);
   void ComeAgain(std::map<core::Ticket, Joined>::iterator it);  // to be told that its job is under way
-  void AnswerWhenStored(Ingress& in, int home);
+  void AnswerWhenStored(Ingress& in, int store_id);
   void LeadNews(Ingress& in, const core::HopCallback& news);
   bool MayWait(Ingress& in);
   // Of connections, those in service or being answered: jobs without a client hold none.
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -105,11 +105,12 @@
   const auto* idempotency = message.Find("Idempotency-Key");
   const std::string alias =
       durable() && idempotency != nullptr ? AliasOf(*job_class, *idempotency) : std::string();
-  if (const auto* job = alias.empty() ? nullptr : reducer().keeper()->book().IdOf(alias); job != nullptr)
+  if (const auto* job = alias.empty() ? nullptr : reducer().job_manager()->table().FindByAlias(alias);
+      job != nullptr)
     return Join(in, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
   // Ids are new with every request. Guards a request whose hop may still be out, or whose answer was just
   // given, against another that comes by its name.
-  if (driver_.reducer().IsKnown(*id) || (durable() && reducer().keeper()->book().Find(*id) != nullptr))
+  if (driver_.reducer().IsKnown(*id) || (durable() && reducer().job_manager()->table().Find(*id) != nullptr))
     return refuse(409, "Req-Id is in use");
   core::RequestArrived arrived;
   pebblenotch::Request& r = arrived.request;
--- a/src/fronts/told.cpp
+++ b/src/fronts/told.cpp
@@ -131,37 +131,38 @@
 }
 
 void LogStore(std::string_view front, const net::Driver& driver) {
-  const durable::Keeper* keeper = driver.reducer().keeper();
-  if (keeper == nullptr) return;
-  using Place = durable::JobBook::Place;
-  const auto& k = keeper->counters();
+  const durable::JobManager* job_manager = driver.reducer().job_manager();
+  if (job_manager == nullptr) return;
+  using Status = durable::JobTable::Status;
+  const auto& k = job_manager->counters();
   log::Event(log::Level::kInfo, "durable",
              {{"front", front, true},
-              {"taken", k.taken},
+              {"taken", k.accepted},
               {"done", k.done},
               {"failed", k.failed},
               {"retries", k.retries},
-              {"lapsed", k.lapsed},
-              {"late", k.late},
-              {"vetoed", k.vetoed},
-              {"rounds", k.rounds},
-              {"waiting", keeper->book().Count(Place::kWaiting) + keeper->book().Count(Place::kRetrying)},
-              {"held", keeper->book().Count(Place::kHeld)},
-              {"in_hand", keeper->in_hand()},
-              {"window", keeper->window()}});
-  if (driver.gate() == nullptr) return;  // another looks after these jobs now
-  const auto w = driver.gate()->writer().counts();
+              {"lapsed", k.expired},
+              {"late", k.stale},
+              {"vetoed", k.leases_denied},
+              {"rounds", k.dispatches},
+              {"waiting",
+               job_manager->table().Count(Status::kWaiting) + job_manager->table().Count(Status::kRetrying)},
+              {"held", job_manager->table().Count(Status::kLeased)},
+              {"in_hand", job_manager->active()},
+              {"window", job_manager->window()}});
+  if (driver.barrier() == nullptr) return;  // another looks after these jobs now
+  const auto w = driver.barrier()->writer().counts();
   log::Event(log::Level::kInfo, "store",
              {{"front", front, true},
-              {"records", driver.gate()->writer().stored()},
-              {"unstored", driver.gate()->writer().handed() - driver.gate()->writer().stored()},
+              {"records", driver.barrier()->writer().stored()},
+              {"unstored", driver.barrier()->writer().enqueued() - driver.barrier()->writer().stored()},
               {"commits", w.commits},
-              {"longest_commit_us", w.longest_us},
-              {"longest_wait_us", driver.gate()->longest()},
-              {"folds", w.folds},
-              {"faults", w.faults},
-              {"fold_faults", w.fold_faults},
-              {"answered_unstored", driver.gate()->unstored()}});
+              {"longest_commit_us", w.longest_commit_us},
+              {"longest_wait_us", driver.barrier()->longest_block()},
+              {"folds", w.compactions},
+              {"faults", w.write_errors},
+              {"fold_faults", w.compaction_errors},
+              {"answered_unstored", driver.barrier()->released_unstored()}});
 }
 
 }  // namespace heronway
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,7 +14,7 @@
 #include "src/cluster/members_tool.h"
 #include "src/cluster/net/node.h"
 #include "src/config/config.h"
-#include "src/durable/tool.h"
+#include "src/durable/job_commands.h"
 #include "src/fronts/console/calls.h"
 #include "src/fronts/faktory/front.h"
 #include "src/fronts/http/front.h"
@@ -109,8 +109,8 @@
       cluster::copies::ReplicaManager::Settings{o.fleet, o.name.empty() ? config.name : o.name, o.copies,
                                                 o.copies_listen, o.copies_address_overrides, o.takeover_delay,
                                                 ExpectsOthers(o), options.durable.folder, config.seed + 8});
-  options.durable.copied = [c = copies.get()](const std::string& front,
-                                              std::unique_ptr<durable::SqliteStore> store) {
+  options.durable.replicate = [c = copies.get()](const std::string& front,
+                                                 std::unique_ptr<durable::SqliteStore> store) {
     return c->OpenReplicatedStore(front, std::move(store));
   };
   return copies;
@@ -141,8 +141,8 @@
   using cluster::copies::LookupStatus;
   if (!known_now) return {LookupStatus::kRetry, {}};
   if (job == nullptr) return {LookupStatus::kUnknown, {}};
-  if (job->state != durable::State::kAnswered) return {LookupStatus::kOpen, {}};
-  if (job->answer != durable::Answer::kDone) return {LookupStatus::kFailed, {}};
+  if (job->state != durable::JobState::kFinished) return {LookupStatus::kOpen, {}};
+  if (job->outcome != durable::Outcome::kDone) return {LookupStatus::kFailed, {}};
   return {LookupStatus::kDone, job->text};
 }
 
@@ -152,7 +152,7 @@
     return name == "http" ? &front.driver() : second != nullptr ? &second->driver() : nullptr;
   };
   copies.SetFrontHooks(
-      {[driver](durable::Held held) {
+      {[driver](durable::TransferredJobs held) {
          if (net::Driver* d = driver(held.front)) d->Hold(std::move(held));
        },
        [driver](const std::string& group, const std::string& name, bool own) {
@@ -371,7 +371,7 @@
       ->check(CLI::IsMember({"waiting", "retrying", "held", "done", "failed"}));
   jobs_list->add_option("--class", list.job_class, "Of this class only");
   jobs_list->add_option("--lane", list.lane, "Of this queue only");
-  jobs_list->add_option("--most", list.most, "Rows")->check(CLI::PositiveNumber);
+  jobs_list->add_option("--most", list.max_rows, "Rows")->check(CLI::PositiveNumber);
   jobs_list->add_flag("--json", list.json);
   jobs_show->add_option("ID", job_id)->required();
   jobs_show->add_flag("--json", show_json);
@@ -420,8 +420,8 @@
     if (rule_format->parsed()) return match::FormatFile(rule_path, format_write, format_check);
     if (jobs_list->parsed()) return durable::ListJobs(store_path, list);
     if (jobs_show->parsed()) return durable::ShowJob(store_path, job_id, show_json);
-    if (jobs_retry->parsed()) return durable::OrderJobs(store_path, "retry", job_ids);
-    if (jobs_discard->parsed()) return durable::OrderJobs(store_path, "discard", job_ids);
+    if (jobs_retry->parsed()) return durable::RunJobCommand(store_path, "retry", job_ids);
+    if (jobs_discard->parsed()) return durable::RunJobCommand(store_path, "discard", job_ids);
     if (jobs_export->parsed()) return durable::ExportJobs(store_path);
     if (jobs_verify->parsed()) return durable::VerifyStore(store_path);
     if (jobs_snapshot->parsed()) return durable::SnapshotStore(store_path, copy_path);
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "src/core/reducer.h"
-#include "src/durable/held.h"
-#include "src/durable/open.h"
+#include "src/durable/open_store.h"
+#include "src/durable/transferred_jobs.h"
 #include "src/log/log.h"
-#include "src/net/gate.h"
+#include "src/net/commit_barrier.h"
 #include "src/net/loop.h"
 
 namespace heronway::net {
@@ -26,27 +26,27 @@
   // `durable`: what is stored, and where; nothing where durable jobs are off. The owner posts StoreLoaded
   // first, then. `name`: for the log.
   Driver(Loop& loop, const pebblenotch::Settings& settings, std::uint64_t seed, Micros take_limit,
-         const limits::Settings& limits, Executor execute, durable::Opened durable = {},
+         const limits::Settings& limits, Executor execute, durable::OpenedStore durable = {},
          std::string_view name = {})
       : loop_(loop),
-        reducer_(settings, seed, loop.Now(), take_limit, limits, std::move(durable.keeper)),
+        reducer_(settings, seed, loop.Now(), take_limit, limits, std::move(durable.job_manager)),
         execute_(std::move(execute)),
         wake_(loop, [this] { Post(core::Wake{}); }),
         come_(loop, [this] { Come(); }) {
     if (durable.store == nullptr) return;
-    const durable::JobBook& book = reducer_.keeper()->book();
+    const durable::JobTable& table = reducer_.job_manager()->table();
     log::Event(log::Level::kInfo, "store",
                {{"front", name, true},
                 {"state", "read"},
-                {"open", book.open()},
-                {"held", book.Count(durable::JobBook::Place::kHeld)},
-                {"pages_recovered", durable.recovered},
-                {"bytes_dropped", durable.dropped}});
+                {"open", table.unfinished()},
+                {"held", table.Count(durable::JobTable::Status::kLeased)},
+                {"pages_recovered", durable.recovered_pages},
+                {"bytes_dropped", durable.dropped_bytes}});
     name_ = name;
-    copied_ = durable.copied;
-    gates_[0] = MakeGate(std::move(durable.store), durable.copied);
+    copied_ = durable.replicated;
+    barriers_[0] = MakeBarrier(std::move(durable.store), durable.replicated);
   }
-  ~Driver() { gates_.clear(); }
+  ~Driver() { barriers_.clear(); }
 
   // An event that an effect brings about waits until the effects before it have been carried out.
   void Post(core::Event event) {
@@ -62,9 +62,9 @@
           wake_.Start(at->at - loop_.Now());
         } else if (auto* persist = std::get_if<core::Persist>(&effect)) {
           // What a home that was lost still brings about is nobody's to store.
-          if (Gate* g = gate(persist->home)) g->Hand(std::move(persist->records));
-        } else if (Gate* g = GateOf(effect); g != nullptr) {
-          g->Pass(std::move(effect));
+          if (CommitBarrier* g = barrier(persist->store_id)) g->Persist(std::move(persist->records));
+        } else if (CommitBarrier* g = BarrierOf(effect); g != nullptr) {
+          g->Submit(std::move(effect));
         } else {
           execute_(effect);
         }
@@ -73,103 +73,105 @@
     running_ = false;
   }
   const core::Reducer& reducer() const { return reducer_; }
-  // By home (durable::Keeper); null where nothing is durable, and where the home was lost.
-  Gate* gate(int home = 0) {
-    const auto it = gates_.find(home);
-    return it == gates_.end() ? nullptr : it->second.get();
+  // By home (durable::JobManager); null where nothing is durable, and where the home was lost.
+  CommitBarrier* barrier(int store_id = 0) {
+    const auto it = barriers_.find(store_id);
+    return it == barriers_.end() ? nullptr : it->second.get();
   }
-  const Gate* gate() const {
-    const auto it = gates_.find(0);
-    return it == gates_.end() ? nullptr : it->second.get();
+  const CommitBarrier* barrier() const {
+    const auto it = barriers_.find(0);
+    return it == barriers_.end() ? nullptr : it->second.get();
   }
   // At once where nothing is durable. `home`: whose records it rests on.
-  void WhenStored(Gate::Stored then, int home = 0) {
-    Gate* g = gate(home);
-    g != nullptr ? g->WhenStored(std::move(then)) : then(reducer_.keeper() == nullptr);
+  void WhenStored(CommitBarrier::StoredCallback then, int store_id = 0) {
+    CommitBarrier* g = barrier(store_id);
+    g != nullptr ? g->WhenStored(std::move(then)) : then(reducer_.job_manager() == nullptr);
   }
   // The store can take nothing now: new durable jobs are refused.
   bool StoreFull() const {
-    if (reducer_.keeper() == nullptr) return false;
-    const Gate* own = gate();
+    if (reducer_.job_manager() == nullptr) return false;
+    const CommitBarrier* own = barrier();
     // Guards against a job that is taken anew while what was known of it is still coming.
     return own == nullptr || !coming_.empty() || own->writer().full() || own->writer().failing() ||
-           !reducer_.keeper()->MayTake();
+           !reducer_.job_manager()->CanAccept();
   }
 
   // ---- jobs that another scheduler held, or another process of this one
   // Takes them on. `own`: they are this scheduler's, whose home was lost before.
-  void Hold(durable::Held held) {
-    const int home = held.own ? 0 : ++last_home_;
-    homes_[held.group] = home;
-    gates_[home] = MakeGate(std::move(held.store), true);
-    coming_.push_back({home, held.clock_broke, std::move(held.jobs), 0});
+  void Hold(durable::TransferredJobs held) {
+    const int store_id = held.returned ? 0 : ++last_store_id_;
+    store_ids_[held.group] = store_id;
+    barriers_[store_id] = MakeBarrier(std::move(held.store), true);
+    coming_.push_back({store_id, held.clock_stepped_at, std::move(held.jobs), 0});
     if (!come_.running()) come_.Start(1);
   }
   // Whether none of them is in hand; from the first asking on none begins another round.
   bool Idle(const std::string& group) {
-    const auto it = homes_.find(group);
-    if (it == homes_.end()) return true;
+    const auto it = store_ids_.find(group);
+    if (it == store_ids_.end()) return true;
     Post(core::HomeClosing{it->second});
     // What is decided must be stored as well, or its owner knows nothing of it.
-    const Gate* g = gate(it->second);
-    return reducer_.keeper()->InHandOf(it->second) == 0 &&
-           (g == nullptr || g->writer().stored() == g->writer().handed());
+    const CommitBarrier* g = barrier(it->second);
+    return reducer_.job_manager()->ActiveCount(it->second) == 0 &&
+           (g == nullptr || g->writer().stored() == g->writer().enqueued());
   }
   // A worker's word that reached another scheduler. False: no such job is held here.
-  bool TakeWord(core::HopCallback news, Gate::Stored told) {
-    const durable::Keeper* keeper = reducer_.keeper();
-    if (keeper == nullptr) return false;
-    if (keeper->book().Find(news.id) == nullptr) {
+  bool TakeWord(core::HopCallback news, CommitBarrier::StoredCallback told) {
+    const durable::JobManager* job_manager = reducer_.job_manager();
+    if (job_manager == nullptr) return false;
+    if (job_manager->table().Find(news.id) == nullptr) {
       if (coming_.empty()) return false;
       told(false);  // it may be among those that are still coming
       return true;
     }
-    const int home = keeper->HomeOf(news.id);
+    const int store_id = job_manager->StoreIdOf(news.id);
     Post(std::move(news));
-    WhenStored(std::move(told), home);
+    WhenStored(std::move(told), store_id);
     return true;
   }
   // What is known here of a job, once that is stored. `told` is called once, perhaps within: with the job,
   // null where there is none, and whether that can be told at this moment.
   void Find(const std::string& name, bool is_alias,
             std::function<void(const durable::Job* job, bool known_now)> told) {
-    const durable::Keeper* keeper = reducer_.keeper();
-    const std::string* by_alias = keeper != nullptr && is_alias ? keeper->book().IdOf(name) : nullptr;
+    const durable::JobManager* job_manager = reducer_.job_manager();
+    const std::string* by_alias =
+        job_manager != nullptr && is_alias ? job_manager->table().FindByAlias(name) : nullptr;
     const std::string id = !is_alias ? name : by_alias != nullptr ? *by_alias : "";
-    if (keeper == nullptr || keeper->book().Find(id) == nullptr) return told(nullptr, coming_.empty());
-    WhenStored(
-        [this, id, told = std::move(told)](bool stored) { told(reducer_.keeper()->book().Find(id), stored); },
-        keeper->HomeOf(id));
+    if (job_manager == nullptr || job_manager->table().Find(id) == nullptr)
+      return told(nullptr, coming_.empty());
+    WhenStored([this, id, told = std::move(told)](
+                   bool stored) { told(reducer_.job_manager()->table().Find(id), stored); },
+               job_manager->StoreIdOf(id));
   }
   bool coming() const { return !coming_.empty(); }  // more jobs than are known so far
   // Stored means: on a majority of the copies, and another may answer otherwise from what is not.
   bool copied() const { return copied_; }
   // They are another's from here on.
   void Lose(const std::string& group, bool own) {
-    const auto it = homes_.find(group);
-    const int home = own ? 0 : it == homes_.end() ? -1 : it->second;
-    const auto here = gates_.find(home);
-    if (here == gates_.end()) return;
-    std::erase_if(coming_, [home](const Coming& c) { return c.home == home; });
-    const std::unique_ptr<Gate> gone = std::move(here->second);
-    gates_.erase(here);
-    homes_.erase(group);
-    Post(core::HomeLost{home});
+    const auto it = store_ids_.find(group);
+    const int store_id = own ? 0 : it == store_ids_.end() ? -1 : it->second;
+    const auto here = barriers_.find(store_id);
+    if (here == barriers_.end()) return;
+    std::erase_if(coming_, [store_id](const Coming& c) { return c.store_id == store_id; });
+    const std::unique_ptr<CommitBarrier> gone = std::move(here->second);
+    barriers_.erase(here);
+    store_ids_.erase(group);
+    Post(core::HomeLost{store_id});
     gone->Abandon([this](core::Event event) { Post(std::move(event)); });
   }
 
  private:
   static constexpr std::size_t kComeAtOnce = 64;  // jobs a turn of the loop: others must not wait for them
   struct Coming {
-    int home;
-    durable::Micros clock_broke;
+    int store_id;
+    durable::Micros clock_stepped_at;
     std::vector<std::pair<std::string, durable::Job>> jobs;
     std::size_t next;
   };
-  std::unique_ptr<Gate> MakeGate(std::unique_ptr<durable::Store> store, bool copied) {
-    return std::make_unique<Gate>(
+  std::unique_ptr<CommitBarrier> MakeBarrier(std::unique_ptr<durable::Store> store, bool copied) {
+    return std::make_unique<CommitBarrier>(
         loop_, std::move(store), durable::Writer::Settings{}, execute_,
-        [this](durable::Order order) { Post(core::OperatorOrder{std::move(order)}); },
+        [this](durable::OperatorCommand order) { Post(core::OperatorOrder{std::move(order)}); },
         [this](const std::string& fault) {
           if (fault.empty())
             return log::Event(log::Level::kInfo, "store",
@@ -181,7 +183,7 @@
   void Come() {
     if (coming_.empty()) return;
     Coming& c = coming_.front();
-    core::JobsAdopted part{c.home, c.next == 0, c.clock_broke, {}};
+    core::JobsAdopted part{c.store_id, c.next == 0, c.clock_stepped_at, {}};
     const std::size_t end = std::min(c.jobs.size(), c.next + kComeAtOnce);
     for (; c.next < end; ++c.next) part.jobs.push_back(std::move(c.jobs[c.next]));
     if (c.next == c.jobs.size()) coming_.pop_front();
@@ -189,17 +191,18 @@
     Post(std::move(part));
   }
   // By whose records an effect is held back; null: by none.
-  Gate* GateOf(const core::Effect& effect) {
-    if (gates_.empty()) return nullptr;
+  CommitBarrier* BarrierOf(const core::Effect& effect) {
+    if (barriers_.empty()) return nullptr;
     if (const auto* send = std::get_if<core::SendHop>(&effect))
-      return send->durable ? gate(send->home) : nullptr;
+      return send->durable ? barrier(send->store_id) : nullptr;
     if (const auto* off = std::get_if<core::CancelHop>(&effect))
-      return off->durable ? gate(off->home) : nullptr;
-    if (const auto* a = std::get_if<core::Answer>(&effect)) return a->durable ? gate(a->home) : nullptr;
-    if (const auto* settled = std::get_if<core::Settled>(&effect)) return gate(settled->home);
+      return off->durable ? barrier(off->store_id) : nullptr;
+    if (const auto* a = std::get_if<core::Answer>(&effect))
+      return a->durable ? barrier(a->store_id) : nullptr;
+    if (const auto* settled = std::get_if<core::Settled>(&effect)) return barrier(settled->store_id);
     // A round's beginning comes behind the end of the one before.
     const auto* resume = std::get_if<core::StartRound>(&effect);
-    return resume != nullptr ? gate(resume->home) : nullptr;
+    return resume != nullptr ? barrier(resume->store_id) : nullptr;
   }
   Loop& loop_;
   core::Reducer reducer_;
@@ -209,9 +212,9 @@
   bool running_ = false;
   std::string name_;
   bool copied_ = false;
-  std::map<int, std::unique_ptr<Gate>> gates_;  // by home
-  std::map<std::string, int> homes_;            // by group, those that came
-  int last_home_ = 0;
+  std::map<int, std::unique_ptr<CommitBarrier>> barriers_;  // by home
+  std::map<std::string, int> store_ids_;                    // by group, those that came
+  int last_store_id_ = 0;
   std::deque<Coming> coming_;
   Timer come_;
 };
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -132,7 +132,7 @@
 std::vector<durable::ClassRules> Rules() { return std::vector<durable::ClassRules>(1); }
 durable::Record Taken(const std::string& id) {
   durable::Record r;
-  r.kind = durable::Kind::kTaken;
+  r.kind = durable::RecordKind::kAccepted;
   r.id = id;
   r.at = 1;
   r.text = "text of " + id;
@@ -142,7 +142,7 @@
 
 TEST(ReplicatedStore, ABatchThatWasProposedTwiceCountsOnce) {
   Folder folder;
-  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
+  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Mode::kServe);
   durable::Applied applied = store.applied();
   EXPECT_EQ(applied.index, 0u);
   const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
@@ -162,7 +162,7 @@
 // What a process proposed that held the group once and does not know that it holds it no more.
 TEST(ReplicatedStore, OnlyTheBatchesOfWhoeverHoldsTheGroupCount) {
   Folder folder;
-  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
+  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Mode::kServe);
   durable::Applied applied = store.applied();
   const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
     const std::vector<durable::Record> records =
@@ -190,7 +190,7 @@
   auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-      durable::SqliteStore::Use::kServe);
+      durable::SqliteStore::Mode::kServe);
   durable::SqliteStore* inner_store = inner.get();
   ReplicatedStore store(std::move(inner), group, kFencedEpoch | 7);
   group->Deliver(5, Encode(Batch{kFencedEpoch | 8, 0, durable::Encode(std::vector<durable::Record>{})}));
@@ -208,7 +208,7 @@
   auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-      durable::SqliteStore::Use::kServe);
+      durable::SqliteStore::Mode::kServe);
   durable::SqliteStore* inner_store = inner.get();
   ReplicatedStore store(std::move(inner), group, 7);
   group->Reject("nobody leads");
@@ -237,7 +237,7 @@
   auto group = std::make_shared<LogChannel>([] {});
   ReplicatedStore store(std::make_unique<durable::SqliteStore>(
                             durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-                            durable::SqliteStore::Use::kServe),
+                            durable::SqliteStore::Mode::kServe),
                         group, 7);
   std::vector<durable::Record> records;
   for (int n = 0; n < 20; ++n) {
@@ -277,7 +277,7 @@
   const auto open = [&] {
     return std::make_unique<durable::SqliteStore>(
         durable::SqliteStore::Settings{folder.path + "/http.db", {"c"}, Rules(), 0},
-        durable::SqliteStore::Use::kServe);
+        durable::SqliteStore::Mode::kServe);
   };
   const auto groups = [&] {
     ReplicaManager copies(shared, settings);
--- a/tests/durable/faulty_store.h
+++ b/tests/durable/faulty_store.h
@@ -13,14 +13,14 @@
 namespace heronway::durable {
 
 // A store in memory, and a fault at the write that is asked for.
-struct Faulty : Store {
+struct FaultyStore : Store {
   struct State {
     std::mutex lock;
     std::vector<Record> kept;
     int writes = 0, fail_from = -1, fail_to = -1, batches = 0;
     std::chrono::milliseconds pause{0};
   };
-  explicit Faulty(std::shared_ptr<State> state) : s(std::move(state)) {}
+  explicit FaultyStore(std::shared_ptr<State> state) : s(std::move(state)) {}
   void Append(const std::vector<Record>& records) override {
     std::this_thread::sleep_for(s->pause);
     const std::lock_guard hold(s->lock);
@@ -31,14 +31,14 @@
     s->kept.insert(s->kept.end(), records.begin(), records.end());
   }
   void Read(const Reader&) override {}
-  std::size_t Fold(std::size_t, std::size_t) override { return 0; }
-  std::vector<Order> TakeOrders() override { return {}; }
+  std::size_t Compact(std::size_t, std::size_t) override { return 0; }
+  std::vector<OperatorCommand> TakeCommands() override { return {}; }
   std::uint64_t bytes() const override { return 0; }
-  std::uint64_t most_bytes() const override { return 0; }
+  std::uint64_t max_bytes() const override { return 0; }
   std::shared_ptr<State> s;
 };
 
-inline bool Soon(const std::function<bool()>& what) {
+inline bool WaitUntil(const std::function<bool()>& what) {
   for (int i = 0; i < 500 && !what(); ++i) std::this_thread::sleep_for(std::chrono::milliseconds(10));
   return what();
 }
--- a/tests/durable/keeper_test.cpp
+++ b/tests/durable/job_manager_test.cpp
@@ -1,6 +1,6 @@
 // The keeper of durable jobs, and what it does in the reducer: rounds, retries, crashes and clocks, without
 // any store or wire.
-#include "src/durable/keeper.h"
+#include "src/durable/job_manager.h"
 
 #include <gtest/gtest.h>
 
@@ -23,11 +23,11 @@
     site.classes.back().dedup_scope = DedupScope::kZone;
     site.classes.back().key_ttl = 20 * kS;
   }
-  return Keeper::RulesOf(settings, site);
+  return JobManager::BuildClassRules(settings, site);
 }
 
-Task Work(int job_class, int retries = 3) {
-  Task task;
+JobSpec Work(int job_class, int retries = 3) {
+  JobSpec task;
   task.job_class = job_class;
   task.text = "work";
   task.retries = retries;
@@ -39,58 +39,58 @@
   explicit Life(Micros lease = 60 * kS, Micros grace = 30 * kS) {
     settings.lease = lease;
     settings.grace = grace;
-    keeper = std::make_unique<Keeper>(settings, Classes(settings), 7);
+    job_manager = std::make_unique<JobManager>(settings, Classes(settings), 7);
   }
   Settings settings;
-  std::unique_ptr<Keeper> keeper;
+  std::unique_ptr<JobManager> job_manager;
   Records records;
   Micros now = 1'000 * kS;
 
   void Crash(Micros gone = kS) {
-    keeper = std::make_unique<Keeper>(settings, Classes(settings), 7);
-    for (const Record& r : records) ASSERT_TRUE(keeper->Replay(r));
+    job_manager = std::make_unique<JobManager>(settings, Classes(settings), 7);
+    for (const Record& r : records) ASSERT_TRUE(job_manager->ReplayRecord(r));
     now += gone;
-    keeper->Recovered(now, records);
+    job_manager->FinishRecovery(now, records);
   }
   void Take(const std::string& id, int job_class, int retries = 3) {
-    EXPECT_TRUE(keeper->Take(now, id, Work(job_class, retries), false, records));
+    EXPECT_TRUE(job_manager->Accept(now, id, Work(job_class, retries), false, records));
   }
-  std::optional<std::string> Next() { return keeper->Next(now, records); }
+  std::optional<std::string> Next() { return job_manager->NextToDispatch(now, records); }
   std::uint32_t Lease(const std::string& id, WorkerId to = 1, int zone = 0) {
-    return keeper->Lease(now, id, {to, zone, 0}, records).value_or(0);
+    return job_manager->Lease(now, id, {to, zone, 0}, records).value_or(0);
   }
   void Pass(Micros time) {
     now += time;
     std::vector<std::string> lapsed;
-    keeper->Due(now, records, lapsed);
+    job_manager->ProcessDue(now, records, lapsed);
     EXPECT_TRUE(lapsed.empty());
   }
-  bool Says(const std::string& id, std::uint32_t epoch, Keeper::Said said) {
-    return keeper->Word(now, id, epoch, said, "", records);
+  bool Says(const std::string& id, std::uint32_t epoch, JobManager::WorkerReport said) {
+    return job_manager->HandleReport(now, id, epoch, said, "", records);
   }
-  const Job& job(const std::string& id) { return *keeper->book().Find(id); }
+  const Job& job(const std::string& id) { return *job_manager->table().Find(id); }
 };
 
-TEST(Keeper, ARoundThatFoundNoWorkerWaitsAndComesAgain) {
+TEST(JobManager, ARoundThatFoundNoWorkerWaitsAndComesAgain) {
   Life l;
   l.Take("j", kUnsafe);
   EXPECT_EQ(l.Next(), "j");
   EXPECT_EQ(l.Next(), std::nullopt) << "it is in hand";
-  l.keeper->RoundOver(l.now, "j", Keeper::RoundEnd::kShed, 500'000, l.records);
+  l.job_manager->DispatchEnded(l.now, "j", JobManager::DispatchResult::kShed, 500'000, l.records);
   EXPECT_EQ(l.Next(), std::nullopt);
-  EXPECT_EQ(l.keeper->next(l.now), l.now + 500'000);
+  EXPECT_EQ(l.job_manager->next_wakeup(l.now), l.now + 500'000);
   l.Pass(500'000);
   EXPECT_EQ(l.Next(), "j");
   EXPECT_EQ(l.records.size(), 1u) << "that it waits needs no record";
 }
 
-TEST(Keeper, AFailureIsTriedAgainWithTheProtocolsBackoffAndThenKeptAsFailed) {
+TEST(JobManager, AFailureIsTriedAgainWithTheProtocolsBackoffAndThenKeptAsFailed) {
   Life l;
   l.Take("j", kSafe, 2);
   for (int failures = 0; failures < 2; ++failures) {
     ASSERT_EQ(l.Next(), "j");
-    EXPECT_TRUE(l.Says("j", l.Lease("j"), Keeper::Said::kFailed));
-    l.keeper->RoundOver(l.now, "j", Keeper::RoundEnd::kFailed, 0, l.records);
+    EXPECT_TRUE(l.Says("j", l.Lease("j"), JobManager::WorkerReport::kFailed));
+    l.job_manager->DispatchEnded(l.now, "j", JobManager::DispatchResult::kFailed, 0, l.records);
     const Micros wait = l.job("j").until - l.now,
                  least = (failures * failures * failures * failures + 15) * kS;
     EXPECT_GE(wait, least);
@@ -100,28 +100,28 @@
     l.Pass(1);
   }
   ASSERT_EQ(l.Next(), "j");
-  l.Says("j", l.Lease("j"), Keeper::Said::kFailed);
-  EXPECT_EQ(l.job("j").answer, Answer::kFailed);
+  l.Says("j", l.Lease("j"), JobManager::WorkerReport::kFailed);
+  EXPECT_EQ(l.job("j").outcome, Outcome::kFailed);
   EXPECT_EQ(l.job("j").text, "work") << "it is kept as it was, for those who look into it";
-  l.keeper->RoundOver(l.now, "j", Keeper::RoundEnd::kFailed, 0, l.records);
-  EXPECT_TRUE(l.keeper->Retry(l.now, "j", l.records));
+  l.job_manager->DispatchEnded(l.now, "j", JobManager::DispatchResult::kFailed, 0, l.records);
+  EXPECT_TRUE(l.job_manager->Retry(l.now, "j", l.records));
   EXPECT_EQ(l.Next(), "j");
 }
 
-TEST(Keeper, AKeyedFailureIsTriedInsideTheWindowOrNotAtAll) {
+TEST(JobManager, AKeyedFailureIsTriedInsideTheWindowOrNotAtAll) {
   Life l;
   l.Take("j", kKeyed);
   l.Next();
-  l.Says("j", l.Lease("j"), Keeper::Said::kFailed);
+  l.Says("j", l.Lease("j"), JobManager::WorkerReport::kFailed);
   EXPECT_LE(l.job("j").until, l.now + 20 * kS) << "the backoff would have outlasted what workers remember";
-  l.keeper->RoundOver(l.now, "j", Keeper::RoundEnd::kFailed, 0, l.records);
+  l.job_manager->DispatchEnded(l.now, "j", JobManager::DispatchResult::kFailed, 0, l.records);
   l.Pass(21 * kS);
   EXPECT_EQ(l.Next(), std::nullopt);
-  EXPECT_EQ(l.job("j").answer, Answer::kFailed) << "told so, rather than run twice";
+  EXPECT_EQ(l.job("j").outcome, Outcome::kFailed) << "told so, rather than run twice";
 }
 
 // What may be running goes to nobody until its holder had its time; then on only as the class allows.
-TEST(Keeper, AfterACrashNothingThatMayBeRunningIsPushedAfresh) {
+TEST(JobManager, AfterACrashNothingThatMayBeRunningIsPushedAfresh) {
   for (const int job_class : {kSafe, kKeyed, kUnsafe}) {
     Life l(kS, 2 * kS);
     l.Take("j", job_class);
@@ -134,30 +134,30 @@
     l.Pass(kS * 60);
     if (job_class == kSafe) {
       EXPECT_EQ(l.Next(), "j");
-      EXPECT_FALSE(l.Says("j", epoch, Keeper::Said::kDone) && l.job("j").held());
+      EXPECT_FALSE(l.Says("j", epoch, JobManager::WorkerReport::kDone) && l.job("j").leased());
     } else {
       EXPECT_EQ(l.Next(), std::nullopt);
-      EXPECT_EQ(l.job("j").answer, Answer::kFailed);
+      EXPECT_EQ(l.job("j").outcome, Outcome::kFailed);
     }
   }
 }
 
-TEST(Keeper, AHolderFromBeforeTheCrashMayRenewAndEndItsJob) {
+TEST(JobManager, AHolderFromBeforeTheCrashMayRenewAndEndItsJob) {
   Life l(2 * kS, 2 * kS);
   l.Take("j", kUnsafe);
   l.Next();
-  l.Says("j", l.Lease("j", 5), Keeper::Said::kStarted);
+  l.Says("j", l.Lease("j", 5), JobManager::WorkerReport::kStarted);
   l.Crash();
   for (int i = 0; i < 5; ++i) {
     l.Pass(1'500'000);
-    l.keeper->Alive(l.now, 5, l.records);
+    l.job_manager->RenewLeases(l.now, 5, l.records);
   }
-  EXPECT_EQ(l.keeper->EpochOf("j", 6), 0u) << "another worker does not hold it";
-  EXPECT_TRUE(l.Says("j", l.keeper->EpochOf("j", 5), Keeper::Said::kDone));
-  EXPECT_EQ(l.job("j").answer, Answer::kDone);
+  EXPECT_EQ(l.job_manager->CurrentEpoch("j", 6), 0u) << "another worker does not hold it";
+  EXPECT_TRUE(l.Says("j", l.job_manager->CurrentEpoch("j", 5), JobManager::WorkerReport::kDone));
+  EXPECT_EQ(l.job("j").outcome, Outcome::kDone);
 }
 
-TEST(Keeper, ASignOfLifeRenewsWhateverItsWorkerHolds) {
+TEST(JobManager, ASignOfLifeRenewsWhateverItsWorkerHolds) {
   Life l(2 * kS, 2 * kS);
   for (const char* id : {"a", "b"}) {
     l.Take(id, kUnsafe);
@@ -166,45 +166,45 @@
   }
   for (int i = 0; i < 5; ++i) {
     l.Pass(1'500'000);
-    l.keeper->Alive(l.now, 5, l.records);
+    l.job_manager->RenewLeases(l.now, 5, l.records);
   }
-  EXPECT_TRUE(l.job("a").held() && l.job("b").held());
-  l.keeper->HopOver(l.now, "a", l.job("a").epoch, Keeper::HopEnd::kNeverRan, l.records);
-  EXPECT_EQ(l.job("a").state, State::kWaiting);
-  l.Says("b", l.job("b").epoch, Keeper::Said::kStarted);
-  l.keeper->HopOver(l.now, "b", l.job("b").epoch, Keeper::HopEnd::kNeverRan, l.records);
-  EXPECT_EQ(l.job("b").answer, Answer::kFailed) << "it had said that it started";
+  EXPECT_TRUE(l.job("a").leased() && l.job("b").leased());
+  l.job_manager->HopEnded(l.now, "a", l.job("a").epoch, JobManager::HopResult::kNeverRan, l.records);
+  EXPECT_EQ(l.job("a").state, JobState::kWaiting);
+  l.Says("b", l.job("b").epoch, JobManager::WorkerReport::kStarted);
+  l.job_manager->HopEnded(l.now, "b", l.job("b").epoch, JobManager::HopResult::kNeverRan, l.records);
+  EXPECT_EQ(l.job("b").outcome, Outcome::kFailed) << "it had said that it started";
 }
 
-TEST(Keeper, WhatIsInHandOrEndedDoesNotWait) {
+TEST(JobManager, WhatIsInHandOrEndedDoesNotWait) {
   Life l;
-  l.keeper->Take(l.now, "mine", Work(kSafe), true, l.records);
+  l.job_manager->Accept(l.now, "mine", Work(kSafe), true, l.records);
   EXPECT_EQ(l.Next(), std::nullopt) << "its first round is under way with its client";
-  EXPECT_FALSE(l.keeper->Discard(l.now, "mine", l.records));
-  Task later = Work(kSafe);
+  EXPECT_FALSE(l.job_manager->Discard(l.now, "mine", l.records));
+  JobSpec later = Work(kSafe);
   later.not_before = l.now + kS;
-  l.keeper->Take(l.now, "later", later, false, l.records);
-  EXPECT_EQ(l.keeper->scheduled(), 1u);
-  EXPECT_TRUE(l.keeper->Discard(l.now, "later", l.records));
-  EXPECT_EQ(l.keeper->scheduled(), 0u);
+  l.job_manager->Accept(l.now, "later", later, false, l.records);
+  EXPECT_EQ(l.job_manager->delayed(), 1u);
+  EXPECT_TRUE(l.job_manager->Discard(l.now, "later", l.records));
+  EXPECT_EQ(l.job_manager->delayed(), 0u);
 }
 
-TEST(Keeper, AnAnswerOfALapsedLeaseIsLateAndChangesNothing) {
+TEST(JobManager, AnAnswerOfALapsedLeaseIsLateAndChangesNothing) {
   Life l;
   l.Take("j", kSafe);
   l.Next();
   const std::uint32_t first = l.Lease("j", 1);
-  l.keeper->HopOver(l.now, "j", first, Keeper::HopEnd::kLost, l.records);
+  l.job_manager->HopEnded(l.now, "j", first, JobManager::HopResult::kLost, l.records);
   const std::uint32_t second = l.Lease("j", 2);
   ASSERT_EQ(second, first + 1);
-  EXPECT_FALSE(l.Says("j", first, Keeper::Said::kDone));
-  EXPECT_TRUE(l.job("j").held());
-  EXPECT_TRUE(l.Says("j", second, Keeper::Said::kDone));
-  EXPECT_EQ(l.keeper->counters().late, 1u);
+  EXPECT_FALSE(l.Says("j", first, JobManager::WorkerReport::kDone));
+  EXPECT_TRUE(l.job("j").leased());
+  EXPECT_TRUE(l.Says("j", second, JobManager::WorkerReport::kDone));
+  EXPECT_EQ(l.job_manager->counters().stale, 1u);
 }
 
 // Nobody knows how long the program was away: a keyed job that may have run may be past its window.
-TEST(Keeper, AClockThatSteppedBackClosesEveryWindowAndShortensNothing) {
+TEST(JobManager, AClockThatSteppedBackClosesEveryWindowAndShortensNothing) {
   for (const Micros gone : {kS, -3'600 * kS}) {
     Life l(kS, kS);
     l.Take("j", kKeyed);
@@ -212,28 +212,28 @@
     l.Lease("j");
     l.Crash(gone);
     l.Pass(500'000);
-    EXPECT_TRUE(l.job("j").held());
+    EXPECT_TRUE(l.job("j").leased());
     l.Pass(kS);
     EXPECT_EQ(l.Next().has_value(), gone > 0);
     if (gone < 0) {
-      EXPECT_EQ(l.job("j").answer, Answer::kFailed) << "times go on, wherever the clock stands";
+      EXPECT_EQ(l.job("j").outcome, Outcome::kFailed) << "times go on, wherever the clock stands";
     }
     l.Crash(kS);  // and it is remembered
     EXPECT_EQ(l.Next().has_value(), gone > 0);
   }
 }
 
-TEST(Keeper, AKeyedJobIsLeasedAgainInItsFirstZoneOnly) {
+TEST(JobManager, AKeyedJobIsLeasedAgainInItsFirstZoneOnly) {
   Life l;
   l.Take("j", kKeyed);
   l.Next();
-  l.keeper->HopOver(l.now, "j", l.Lease("j", 1, 0), Keeper::HopEnd::kLost, l.records);
+  l.job_manager->HopEnded(l.now, "j", l.Lease("j", 1, 0), JobManager::HopResult::kLost, l.records);
   EXPECT_EQ(l.Lease("j", 2, 1), 0u);
   EXPECT_NE(l.Lease("j", 3, 0), 0u);
-  EXPECT_EQ(l.keeper->counters().vetoed, 1u);
+  EXPECT_EQ(l.job_manager->counters().leases_denied, 1u);
 }
 
-TEST(Keeper, ACrowdOfRecoveredJobsComesLittleByLittleAndClassesTakeTurns) {
+TEST(JobManager, ACrowdOfRecoveredJobsComesLittleByLittleAndClassesTakeTurns) {
   Life l;
   for (int i = 0; i < 1'000; ++i) l.Take("a" + std::to_string(i), kSafe);
   for (int i = 0; i < 20; ++i) l.Take("b" + std::to_string(i), kUnsafe);
@@ -242,22 +242,23 @@
   while (const auto id = l.Next()) first.push_back(*id);
   EXPECT_EQ(first.size(), 16u);
   EXPECT_EQ(std::count_if(first.begin(), first.end(), [](const auto& id) { return id[0] == 'b'; }), 8);
-  l.Says(first[0], l.Lease(first[0]), Keeper::Said::kDone);
-  l.keeper->RoundOver(l.now, first[0], Keeper::RoundEnd::kServed, 0, l.records);
-  EXPECT_EQ(l.keeper->window(), 17);
+  l.Says(first[0], l.Lease(first[0]), JobManager::WorkerReport::kDone);
+  l.job_manager->DispatchEnded(l.now, first[0], JobManager::DispatchResult::kServed, 0, l.records);
+  EXPECT_EQ(l.job_manager->window(), 17);
   for (int i = 1; i < 10; ++i)
-    l.keeper->RoundOver(l.now, first[static_cast<std::size_t>(i)], Keeper::RoundEnd::kShed, 0, l.records);
-  EXPECT_EQ(l.keeper->window(), 8) << "a crowd that is turned away at one moment counts once";
+    l.job_manager->DispatchEnded(l.now, first[static_cast<std::size_t>(i)], JobManager::DispatchResult::kShed,
+                                 0, l.records);
+  EXPECT_EQ(l.job_manager->window(), 8) << "a crowd that is turned away at one moment counts once";
 }
 
-TEST(Keeper, PriorityGoesFirstAndALaterJobWaitsForItsTime) {
+TEST(JobManager, PriorityGoesFirstAndALaterJobWaitsForItsTime) {
   Life l;
-  Task later = Work(kSafe), high = Work(kSafe);
+  JobSpec later = Work(kSafe), high = Work(kSafe);
   later.not_before = l.now + 10 * kS;
   high.priority = 5;
-  l.keeper->Take(l.now, "later", later, false, l.records);
+  l.job_manager->Accept(l.now, "later", later, false, l.records);
   l.Take("low", kSafe);
-  l.keeper->Take(l.now, "high", high, false, l.records);
+  l.job_manager->Accept(l.now, "high", high, false, l.records);
   EXPECT_EQ(l.Next(), "high");
   EXPECT_EQ(l.Next(), "low");
   EXPECT_EQ(l.Next(), std::nullopt);
@@ -270,9 +271,9 @@
 
 // ---- jobs of others
 // What one scheduler held goes to another, whole, as home 3.
-void Adopts(Life& to, const Life& from, Micros clock_broke = 0) {
-  for (const auto& [id, job] : from.keeper->book().jobs())
-    to.keeper->Adopt(to.now, 3, id, job, clock_broke, to.records);
+void Adopts(Life& to, const Life& from, Micros clock_stepped_at = 0) {
+  for (const auto& [id, job] : from.job_manager->table().jobs())
+    to.job_manager->Adopt(to.now, 3, id, job, clock_stepped_at, to.records);
 }
 
 TEST(Homes, AdoptedJobsGoOnAndTheirRecordsGoHome) {
@@ -281,34 +282,34 @@
   gone.Take("runs", kUnsafe);
   gone.Lease("runs", 5);
   gone.Take("done", kUnsafe);
-  gone.Says("done", gone.Lease("done", 6), Keeper::Said::kDone);
+  gone.Says("done", gone.Lease("done", 6), JobManager::WorkerReport::kDone);
   l.Take("own", kUnsafe);
   l.records.clear();
   Adopts(l, gone);
   ASSERT_EQ(l.records.size(), 1u) << "the lease, prolonged by the grace";
-  EXPECT_EQ(l.records[0].kind, Kind::kRenewed);
+  EXPECT_EQ(l.records[0].kind, RecordKind::kRenewed);
   EXPECT_GE(l.records[0].until, l.now + l.settings.grace);
-  EXPECT_EQ(l.records[0].home, 3);
-  EXPECT_EQ(l.keeper->EpochOf("runs", 5), 1u) << "its worker's word counts here";
-  EXPECT_EQ(l.job("done").answer, Answer::kDone) << "and who comes for an answer gets it";
+  EXPECT_EQ(l.records[0].store_id, 3);
+  EXPECT_EQ(l.job_manager->CurrentEpoch("runs", 5), 1u) << "its worker's word counts here";
+  EXPECT_EQ(l.job("done").outcome, Outcome::kDone) << "and who comes for an answer gets it";
   std::set<std::string> rounds;
   while (const auto id = l.Next()) rounds.insert(*id);
   EXPECT_EQ(rounds, (std::set<std::string>{"own", "waits"}));
   l.Lease("waits", 1);
-  EXPECT_EQ(l.records.back().home, 3);
+  EXPECT_EQ(l.records.back().store_id, 3);
   l.Lease("own", 1);
-  EXPECT_EQ(l.records.back().home, 0);
-  EXPECT_EQ(l.keeper->InHandOf(3), 1u);
+  EXPECT_EQ(l.records.back().store_id, 0);
+  EXPECT_EQ(l.job_manager->ActiveCount(3), 1u);
   std::vector<std::string> ids;
-  l.keeper->Drop(3, ids);
+  l.job_manager->DropStore(3, ids);
   EXPECT_EQ(ids.size(), 3u);
-  EXPECT_EQ(l.keeper->book().jobs().size(), 1u);
-  EXPECT_EQ(l.keeper->in_hand(), 1u);
-  EXPECT_EQ(l.keeper->book().Count(JobBook::Place::kHeld), 1u);
+  EXPECT_EQ(l.job_manager->table().jobs().size(), 1u);
+  EXPECT_EQ(l.job_manager->active(), 1u);
+  EXPECT_EQ(l.job_manager->table().Count(JobTable::Status::kLeased), 1u);
   l.records.clear();
-  l.keeper->Alive(l.now, 5, l.records);
+  l.job_manager->RenewLeases(l.now, 5, l.records);
   EXPECT_TRUE(l.records.empty()) << "nothing of it is renewed here any more";
-  EXPECT_FALSE(l.Says("runs", 1, Keeper::Said::kDone));
+  EXPECT_FALSE(l.Says("runs", 1, JobManager::WorkerReport::kDone));
 }
 
 TEST(Homes, WhatRanByAnothersClockIsRepeatedOnlyWhereItIsSafe) {
@@ -320,7 +321,7 @@
   gone.Lease("k", 5);
   Adopts(l, gone, gone.now);
   l.Pass(l.settings.lease);  // an hour's lease would be another matter
-  EXPECT_EQ(l.job("k").answer, Answer::kFailed) << "nobody knows how long ago it began";
+  EXPECT_EQ(l.job("k").outcome, Outcome::kFailed) << "nobody knows how long ago it began";
   std::set<std::string> rounds;
   while (const auto id = l.Next()) rounds.insert(*id);
   EXPECT_EQ(rounds, (std::set<std::string>{"n", "s"}));
@@ -337,18 +338,18 @@
   l.Lease("mine ran", 1);
   l.records.clear();
   Adopts(l, gone);
-  EXPECT_EQ(l.keeper->HomeOf("theirs ran"), 3);
-  EXPECT_EQ(l.keeper->EpochOf("theirs ran", 5), 1u);
-  EXPECT_EQ(l.keeper->HomeOf("mine ran"), 0);
-  EXPECT_EQ(l.keeper->HomeOf("both wait"), 0);
+  EXPECT_EQ(l.job_manager->StoreIdOf("theirs ran"), 3);
+  EXPECT_EQ(l.job_manager->CurrentEpoch("theirs ran", 5), 1u);
+  EXPECT_EQ(l.job_manager->StoreIdOf("mine ran"), 0);
+  EXPECT_EQ(l.job_manager->StoreIdOf("both wait"), 0);
   std::map<std::string, int> ended;  // in which home
   for (const Record& r : l.records) {
-    if (r.kind == Kind::kAnswered || r.kind == Kind::kDiscarded) ended[r.id] = r.home;
+    if (r.kind == RecordKind::kFinished || r.kind == RecordKind::kDiscarded) ended[r.id] = r.store_id;
   }
   EXPECT_EQ(ended, (std::map<std::string, int>{{"both wait", 3}, {"mine ran", 3}, {"theirs ran", 0}}));
   for (const Record& r : l.records) {
-    if (r.home == 3 && r.kind == Kind::kAnswered) {
-      EXPECT_TRUE(gone.keeper->Replay(r)) << "it follows there";
+    if (r.store_id == 3 && r.kind == RecordKind::kFinished) {
+      EXPECT_TRUE(gone.job_manager->ReplayRecord(r)) << "it follows there";
     }
   }
 }
@@ -359,20 +360,20 @@
   gone.Take("b", kSafe);
   Adopts(l, gone);
   const std::string first = l.Next().value();
-  l.keeper->Close(3);
+  l.job_manager->CloseStore(3);
   EXPECT_EQ(l.Next(), std::nullopt);
-  EXPECT_EQ(l.keeper->InHandOf(3), 1u);
-  l.keeper->HopOver(l.now, first, l.Lease(first), Keeper::HopEnd::kLost, l.records);
-  l.keeper->RoundOver(l.now, first, Keeper::RoundEnd::kShed, 0, l.records);
+  EXPECT_EQ(l.job_manager->ActiveCount(3), 1u);
+  l.job_manager->HopEnded(l.now, first, l.Lease(first), JobManager::HopResult::kLost, l.records);
+  l.job_manager->DispatchEnded(l.now, first, JobManager::DispatchResult::kShed, 0, l.records);
   l.Pass(10 * kS);
   EXPECT_EQ(l.Next(), std::nullopt) << "nor another of one that came back";
-  EXPECT_EQ(l.keeper->InHandOf(3), 0u);
+  EXPECT_EQ(l.job_manager->ActiveCount(3), 0u);
 }
 
 // ---- in the reducer
 struct Core {
   explicit Core(Settings settings = {})
-      : reducer(Site(), 7, now, 0, {}, std::make_unique<Keeper>(settings, Classes(settings), 7)) {
+      : reducer(Site(), 7, now, 0, {}, std::make_unique<JobManager>(settings, Classes(settings), 7)) {
     Do(core::StoreLoaded{});
     core::RoutesChanged routes{core::ListKind::kCached, std::vector<pebblenotch::WorkerEntry>(2)};
     routes.entries[0].id = 1;
@@ -431,7 +432,7 @@
   EXPECT_LT(c.At<core::Persist>(), c.At<core::StartRound>());
   c.Round("j", kUnsafe);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr);
-  EXPECT_EQ(c.Find<core::Persist>()->records.front().kind, Kind::kLeased);
+  EXPECT_EQ(c.Find<core::Persist>()->records.front().kind, RecordKind::kLeased);
   EXPECT_LT(c.At<core::Persist>(), c.At<core::SendHop>());
   EXPECT_TRUE(c.Find<core::SendHop>()->durable);
   core::HopCallback done;
@@ -459,7 +460,7 @@
   const core::HopCancelled told{off->request, off->hop};
   c.Do(core::Wake{});
   EXPECT_EQ(c.Find<core::CancelHop>(), nullptr);
-  EXPECT_GT(c.reducer.keeper()->next(c.now), c.now) << "it is not asked again until that is told";
+  EXPECT_GT(c.reducer.job_manager()->next_wakeup(c.now), c.now) << "it is not asked again until that is told";
   c.Do(told);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr) << "a safe job goes on at another worker at once";
 }
@@ -484,7 +485,7 @@
   done.state = core::CallbackState::kDone;
   done.result = "r";
   c.Do(done);
-  EXPECT_EQ(c.reducer.keeper()->book().Find("j")->text, "r");
+  EXPECT_EQ(c.reducer.job_manager()->table().Find("j")->text, "r");
 }
 
 TEST(DurableReducer, ARoundThatMustNotBeLeasedSendsNoHop) {
@@ -493,7 +494,7 @@
   c.Do(core::DrainStarted{});
   c.Round("j", kSafe);
   EXPECT_EQ(c.Find<core::SendHop>(), nullptr) << "nothing new is begun while it stops";
-  EXPECT_EQ(c.reducer.keeper()->book().Find("j")->epoch, 0u);
+  EXPECT_EQ(c.reducer.job_manager()->table().Find("j")->epoch, 0u);
 }
 
 TEST(DurableReducer, APlannedStopLeavesWhatNobodyHasToTheStore) {
@@ -505,7 +506,7 @@
   c.now += c.reducer.stop_times().earliest_exit;
   c.Do(core::Wake{});
   EXPECT_NE(c.Find<core::Drained>(), nullptr);
-  EXPECT_EQ(c.reducer.keeper()->book().Find("j")->state, State::kWaiting);
+  EXPECT_EQ(c.reducer.job_manager()->table().Find("j")->state, JobState::kWaiting);
 }
 
 // Another looks after a home by now: its client is told that the outcome is not known, nothing more is
@@ -513,13 +514,13 @@
 TEST(DurableReducer, AHomeThatIsLostLeavesNothingBehind) {
   Core c, gone;
   gone.Do(core::JobSubmitted{"theirs", Work(kUnsafe)});
-  c.Do(core::JobsAdopted{3, true, 0, {{"theirs", *gone.reducer.keeper()->book().Find("theirs")}}});
+  c.Do(core::JobsAdopted{3, true, 0, {{"theirs", *gone.reducer.job_manager()->table().Find("theirs")}}});
   ASSERT_NE(c.Find<core::StartRound>(), nullptr);
-  EXPECT_EQ(c.Find<core::StartRound>()->home, 3);
+  EXPECT_EQ(c.Find<core::StartRound>()->store_id, 3);
   c.Round("theirs", kUnsafe);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr);
-  EXPECT_EQ(c.Find<core::SendHop>()->home, 3);
-  EXPECT_EQ(c.Find<core::Persist>()->home, 3);
+  EXPECT_EQ(c.Find<core::SendHop>()->store_id, 3);
+  EXPECT_EQ(c.Find<core::Persist>()->store_id, 3);
   const auto at = c.Find<core::SendHop>()->target;
   c.Do(core::JobSubmitted{"own", Work(kUnsafe)});
   c.Round("own", kUnsafe);
@@ -536,7 +537,7 @@
   c.Do(done);
   EXPECT_EQ(c.Find<core::Persist>(), nullptr);
   EXPECT_EQ(c.reducer.counters().late_callbacks, 1u);
-  EXPECT_NE(c.reducer.keeper()->book().Find("own"), nullptr);
+  EXPECT_NE(c.reducer.job_manager()->table().Find("own"), nullptr);
   c.Do(core::DrainStarted{});
   c.now += c.reducer.stop_times().answers_due;
   c.Do(core::Wake{});
--- a/tests/durable/store_test.cpp
+++ b/tests/durable/store_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 
 #include "src/durable/codec.h"
-#include "src/durable/keeper.h"
+#include "src/durable/job_manager.h"
 #include "src/durable/sqlite_store.h"
 #include "src/durable/writer.h"
 #include "tests/durable/faulty_store.h"
@@ -15,8 +15,6 @@
 namespace heronway::durable {
 namespace {
 
-using Kind = durable::Kind;
-
 struct StoreTest : testing::Test {
   StoreTest() {
     char name[] = "/tmp/heronway-store-XXXXXX";
@@ -28,7 +26,7 @@
     const std::size_t n = names.size();
     return std::make_unique<SqliteStore>(
         SqliteStore::Settings{file, std::move(names), std::vector<ClassRules>(n), most},
-        SqliteStore::Use::kServe);
+        SqliteStore::Mode::kServe);
   }
   static Record Take(const std::string& id) {
     Record r;
@@ -37,7 +35,7 @@
     r.text = std::string(200, 'x');
     return r;
   }
-  static Record Of(Kind kind, const std::string& id, std::uint32_t epoch = 0) {
+  static Record Of(RecordKind kind, const std::string& id, std::uint32_t epoch = 0) {
     Record r;
     r.kind = kind;
     r.id = id;
@@ -45,12 +43,12 @@
     r.epoch = epoch;
     return r;
   }
-  static JobBook ReadAll(Store& store) {
-    JobBook book(std::vector<ClassRules>(2));
-    store.Read({[&](Micros at) { book.set_clock_broke(at); },
-                [&](const std::string& id, Job job) { return book.Restore(id, std::move(job)); },
-                [&](const Record& r) { return book.Apply(r); }});
-    return book;
+  static JobTable ReadAll(Store& store) {
+    JobTable table(std::vector<ClassRules>(2));
+    store.Read({[&](Micros at) { table.set_clock_stepped_at(at); },
+                [&](const std::string& id, Job job) { return table.Restore(id, std::move(job)); },
+                [&](const Record& r) { return table.Apply(r); }});
+    return table;
   }
   // The message of the fault that opening or reading gives.
   std::string Fault() {
@@ -66,7 +64,7 @@
 
 TEST_F(StoreTest, TheBytesOfRecordsAndJobsGiveThemBackAndNothingElseDoes) {
   Record r = Take("j\0\xff");
-  r.kind = Kind::kLeased;
+  r.kind = RecordKind::kLeased;
   r.holder = {~0ULL, 3, 4};
   r.until = 1LL << 60;
   r.key = ~0ULL;
@@ -75,9 +73,9 @@
   ASSERT_TRUE(back);
   EXPECT_EQ(*back, (std::vector<Record>{r, Take("k")}));
   Job job;
-  job.state = State::kStarted;
-  job.first = {1, 2, 3};
-  job.why = "w";
+  job.state = JobState::kStarted;
+  job.first_holder = {1, 2, 3};
+  job.error = "w";
   EXPECT_EQ(DecodeJob(Encode(job)), job);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) EXPECT_FALSE(DecodeRecords(bytes.substr(0, cut)));
   EXPECT_FALSE(DecodeJob(bytes));
@@ -85,24 +83,24 @@
 
 TEST_F(StoreTest, FoldingChangesNothingOfWhatIsReadAndBoundsTheJournal) {
   auto store = Open();
-  JobBook book(std::vector<ClassRules>(2));
+  JobTable table(std::vector<ClassRules>(2));
   const auto put = [&](const std::vector<Record>& records) {
     store->Append(records);
-    for (const Record& r : records) ASSERT_TRUE(book.Apply(r));
+    for (const Record& r : records) ASSERT_TRUE(table.Apply(r));
   };
   for (int i = 0; i < 300; ++i) {
     const std::string id = "j" + std::to_string(i);
     put({Take(id)});
-    if (i % 2 == 0) put({Of(Kind::kLeased, id, 1), Of(Kind::kStarted, id, 1)});
-    if (i > 0 && i % 3 == 0) put({Of(Kind::kDiscarded, "j" + std::to_string(i / 3 * 2 + 1))});
-    if (i == 100) put({Of(Kind::kClock, "")});
-    while (store->Fold(16, 40) > 0) {
+    if (i % 2 == 0) put({Of(RecordKind::kLeased, id, 1), Of(RecordKind::kStarted, id, 1)});
+    if (i > 0 && i % 3 == 0) put({Of(RecordKind::kDiscarded, "j" + std::to_string(i / 3 * 2 + 1))});
+    if (i == 100) put({Of(RecordKind::kClockSteppedBack, "")});
+    while (store->Compact(16, 40) > 0) {
     }
-    ASSERT_EQ(ReadAll(*store), book) << i;
+    ASSERT_EQ(ReadAll(*store), table) << i;
   }
-  EXPECT_EQ(store->Fold(16, 40), 0u);
+  EXPECT_EQ(store->Compact(16, 40), 0u);
   store.reset();
-  EXPECT_EQ(ReadAll(*Open()), book) << "and after another start";
+  EXPECT_EQ(ReadAll(*Open()), table) << "and after another start";
 }
 
 TEST_F(StoreTest, WhatTheDiskTearsOffTheEndIsDroppedAndAllBeforeItIsThere) {
@@ -118,8 +116,8 @@
   const auto size = std::filesystem::file_size(file + "-wal");
   std::filesystem::resize_file(file + "-wal", size - 100);
   auto store = Open();
-  EXPECT_GT(store->recovered(), 0u);
-  EXPECT_GT(store->dropped(), 0u);
+  EXPECT_GT(store->recovered_pages(), 0u);
+  EXPECT_GT(store->dropped_bytes(), 0u);
   EXPECT_EQ(ReadAll(*store).jobs().size(), 19u);
 }
 
@@ -127,7 +125,7 @@
   {
     auto store = Open();
     for (int i = 0; i < 3; ++i) store->Append({Take("j" + std::to_string(i))});
-    store->Fold(1, 2);
+    store->Compact(1, 2);
   }
   {
     SQLite::Database raw(file, SQLite::OPEN_READWRITE);
@@ -144,28 +142,28 @@
 }
 
 TEST_F(StoreTest, ARecordThatCannotFollowIsNamedWithItsRow) {
-  Open()->Append({Take("j"), Of(Kind::kStarted, "j", 1)});
+  Open()->Append({Take("j"), Of(RecordKind::kStarted, "j", 1)});
   EXPECT_NE(Fault().find("journal row 1: a record cannot follow"), std::string::npos) << Fault();
 }
 
 TEST_F(StoreTest, ASecondProgramIsRefusedAndToolsAreNot) {
   auto store = Open();
   EXPECT_THROW(Open(), StoreError);
-  EXPECT_TRUE(SqliteStore::Served(file));
+  EXPECT_TRUE(SqliteStore::IsServed(file));
   store->Append({Take("j")});
-  SqliteStore tool({file, {}, {}, 0}, SqliteStore::Use::kLook);
-  EXPECT_EQ(tool.names(), (std::vector<std::string>{"a", "b"}));
+  SqliteStore tool({file, {}, {}, 0}, SqliteStore::Mode::kInspect);
+  EXPECT_EQ(tool.class_names(), (std::vector<std::string>{"a", "b"}));
   EXPECT_EQ(ReadAll(tool).jobs().size(), 1u);
-  tool.LeaveOrder("retry", "j");
-  ASSERT_EQ(store->TakeOrders().size(), 1u);
-  EXPECT_TRUE(store->TakeOrders().empty());
+  tool.QueueCommand("retry", "j");
+  ASSERT_EQ(store->TakeCommands().size(), 1u);
+  EXPECT_TRUE(store->TakeCommands().empty());
 }
 
 TEST_F(StoreTest, ASnapshotIsTakenWhileItServesAndStartsAnother) {
   auto store = Open();
   store->Append({Take("j")});
   const std::string copy = folder + "/copy.db";
-  SqliteStore({file, {}, {}, 0}, SqliteStore::Use::kLook).Snapshot(copy);
+  SqliteStore({file, {}, {}, 0}, SqliteStore::Mode::kInspect).Snapshot(copy);
   store->Append({Take("k")});
   EXPECT_THROW(store->Snapshot(copy), StoreError) << "nothing is written over";
   file = copy;
@@ -178,13 +176,13 @@
   Open()->Append({Take("j")});
   EXPECT_THROW(Open({"b", "a"}), StoreError);
   EXPECT_THROW(Open({"a"}), StoreError);
-  EXPECT_EQ(Open({"a", "b", "c"})->names().size(), 3u);
+  EXPECT_EQ(Open({"a", "b", "c"})->class_names().size(), 3u);
   {
     SQLite::Database raw(file, SQLite::OPEN_READWRITE);
     raw.exec("DROP TABLE orders; PRAGMA user_version=1; UPDATE meta SET value='a,b' WHERE name='classes'");
   }
   EXPECT_EQ(ReadAll(*Open()).jobs().size(), 1u);
-  EXPECT_TRUE(Open()->TakeOrders().empty());
+  EXPECT_TRUE(Open()->TakeCommands().empty());
   {
     SQLite::Database raw(file, SQLite::OPEN_READWRITE);
     raw.exec("PRAGMA user_version=9");
@@ -202,7 +200,7 @@
   }
   EXPECT_EQ(ReadAll(*store).jobs().size(), static_cast<std::size_t>(taken));
   std::filesystem::permissions(folder, std::filesystem::perms::none);
-  EXPECT_THROW(SqliteStore({folder + "/none/x.db", {"a"}, {{}}, 0}, SqliteStore::Use::kServe), StoreError);
+  EXPECT_THROW(SqliteStore({folder + "/none/x.db", {"a"}, {{}}, 0}, SqliteStore::Mode::kServe), StoreError);
   std::filesystem::permissions(folder, std::filesystem::perms::owner_all);
 }
 
@@ -215,69 +213,70 @@
       batch.push_back(Take("j" + std::to_string(i)));
       if (batch.size() == 1'000) store->Append(std::exchange(batch, {}));
     }
-    store->Fold(30'000, 20);
+    store->Compact(30'000, 20);
   }
-  Keeper keeper({}, std::vector<ClassRules>(2), 1);
-  Open()->Read({nullptr, [&](const std::string& id, Job job) { return keeper.Restore(id, std::move(job)); },
-                [&](const Record& r) { return keeper.Replay(r); }});
+  JobManager job_manager({}, std::vector<ClassRules>(2), 1);
+  Open()->Read({nullptr,
+                [&](const std::string& id, Job job) { return job_manager.RestoreJob(id, std::move(job)); },
+                [&](const Record& r) { return job_manager.ReplayRecord(r); }});
   Records records;
-  keeper.Recovered(100, records);
-  EXPECT_EQ(keeper.counters().recovered, static_cast<std::uint64_t>(kJobs));
+  job_manager.FinishRecovery(100, records);
+  EXPECT_EQ(job_manager.counters().recovered, static_cast<std::uint64_t>(kJobs));
   int out = 0;
-  while (keeper.Next(100, records)) ++out;
-  EXPECT_EQ(out, keeper.window());
+  while (job_manager.NextToDispatch(100, records)) ++out;
+  EXPECT_EQ(out, job_manager.window());
   EXPECT_TRUE(records.empty()) << "to bring them back costs no write";
 }
 
 TEST(Writer, AWriteThatFailsIsTriedAgainInOrderWhicheverItIs) {
   for (int at = 0; at < 6; ++at) {
-    auto state = std::make_shared<Faulty::State>();
+    auto state = std::make_shared<FaultyStore::State>();
     state->fail_from = at;
     state->fail_to = at + 2;
     Writer::Settings settings;
-    settings.try_again = std::chrono::milliseconds(1);
-    Writer writer(std::make_unique<Faulty>(state), settings, [] {});
+    settings.retry_interval = std::chrono::milliseconds(1);
+    Writer writer(std::make_unique<FaultyStore>(state), settings, [] {});
     for (int i = 0; i < 8; ++i) {
       Record r;
       r.id = std::to_string(i);
-      const auto number = writer.Hand({r});
+      const auto number = writer.Enqueue({r});
       if (i < at) {
-        ASSERT_TRUE(Soon([&] { return writer.stored() >= number; }));
+        ASSERT_TRUE(WaitUntil([&] { return writer.stored() >= number; }));
       }
     }
-    ASSERT_TRUE(Soon([&] { return writer.stored() == 8; }));
+    ASSERT_TRUE(WaitUntil([&] { return writer.stored() == 8; }));
     EXPECT_FALSE(writer.failing());
-    EXPECT_EQ(writer.counts().faults, 2u);
+    EXPECT_EQ(writer.counts().write_errors, 2u);
     for (std::size_t i = 0; i < 8; ++i) EXPECT_EQ(state->kept[i].id, std::to_string(i));
   }
 }
 
 TEST(Writer, WhileItFailsItSaysSoAndItsEndIsBounded) {
-  auto state = std::make_shared<Faulty::State>();
+  auto state = std::make_shared<FaultyStore::State>();
   state->fail_from = 0;
   state->fail_to = 1 << 30;
   Writer::Settings settings;
-  settings.most_waiting = 10;
-  Writer writer(std::make_unique<Faulty>(state), settings, [] {});
-  writer.Hand(std::vector<Record>(5));
-  ASSERT_TRUE(Soon([&] { return writer.failing(); }));
-  EXPECT_EQ(writer.fault(), "the disk is full");
+  settings.max_pending = 10;
+  Writer writer(std::make_unique<FaultyStore>(state), settings, [] {});
+  writer.Enqueue(std::vector<Record>(5));
+  ASSERT_TRUE(WaitUntil([&] { return writer.failing(); }));
+  EXPECT_EQ(writer.last_error(), "the disk is full");
   EXPECT_FALSE(writer.full());
-  writer.Hand(std::vector<Record>(6));
+  writer.Enqueue(std::vector<Record>(6));
   EXPECT_TRUE(writer.full());
-  writer.End(std::chrono::milliseconds(50));
+  writer.Stop(std::chrono::milliseconds(50));
   EXPECT_EQ(writer.stored(), 0u);
 }
 
 TEST(Writer, ManyShareOneCommitAndHandingOverNeverWaits) {
-  auto state = std::make_shared<Faulty::State>();
+  auto state = std::make_shared<FaultyStore::State>();
   // Long beside what a busy machine may hold this thread up for: to wait once would show.
   state->pause = std::chrono::milliseconds(400);
-  Writer writer(std::make_unique<Faulty>(state), {}, [] {});
+  Writer writer(std::make_unique<FaultyStore>(state), {}, [] {});
   const auto began = std::chrono::steady_clock::now();
-  for (int i = 0; i < 1'000; ++i) writer.Hand({Record{}});
+  for (int i = 0; i < 1'000; ++i) writer.Enqueue({Record{}});
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(400));
-  ASSERT_TRUE(Soon([&] { return writer.stored() == 1'000; }));
+  ASSERT_TRUE(WaitUntil([&] { return writer.stored() == 1'000; }));
   EXPECT_LE(state->batches, 3);
 }
 
