--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -75,7 +75,7 @@
       r.text.assign(360, 'x');
     }
     const double began = Now();
-    const auto last = writer.Hand(std::move(records));
+    const auto last = writer.Enqueue(std::move(records));
     std::unique_lock hold(lock);
     changed.wait(hold, [&] { return writer.stored() >= last; });
     took.push_back((Now() - began) * 1e3);
@@ -298,7 +298,7 @@
           batch.push_back(r);
           if (batch.size() == 16 || i + 1 == jobs) store.Append(std::exchange(batch, {}));
         }
-        while (store.Fold(10'000, 4'096) > 0) {
+        while (store.Compact(10'000, 4'096) > 0) {
         }
       }
       Served served(folder);
--- a/src/net/commit_barrier.h
+++ b/src/net/commit_barrier.h
@@ -45,7 +45,7 @@
         on_fault_change_(std::move(on_fault_change)),
         wakeup_(loop, [this] { OnWriterProgress(); }),
         overdue_(loop, [this] { ReleaseOverdue(); }),
-        writer_(std::move(store), settings, [this] { wakeup_.Ask(); }) {}
+        writer_(std::move(store), settings, [this] { wakeup_.Notify(); }) {}
 
   void Persist(std::vector<durable::Record> records) {
     const Micros began = loop_.Now();
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -88,7 +88,7 @@
     g != nullptr ? g->WhenStored(std::move(then)) : then(reducer_.job_manager() == nullptr);
   }
   // The store can take nothing now: new durable jobs are refused.
-  bool StoreFull() const {
+  bool StoreUnavailable() const {
     if (reducer_.job_manager() == nullptr) return false;
     const CommitBarrier* own = barrier();
     // Guards against a job that is taken anew while what was known of it is still coming.
@@ -98,7 +98,7 @@
 
   // ---- jobs that another scheduler held, or another process of this one
   // Takes them on. `own`: they are this scheduler's, whose home was lost before.
-  void Hold(durable::TransferredJobs held) {
+  void AdoptJobs(durable::TransferredJobs held) {
     const int store_id = held.returned ? 0 : ++last_store_id_;
     store_ids_[held.group] = store_id;
     barriers_[store_id] = MakeBarrier(std::move(held.store), true);
@@ -106,7 +106,7 @@
     if (!come_.running()) come_.Start(1);
   }
   // Whether none of them is in hand; from the first asking on none begins another round.
-  bool Idle(const std::string& group) {
+  bool QuiesceGroup(const std::string& group) {
     const auto it = store_ids_.find(group);
     if (it == store_ids_.end()) return true;
     Post(core::HomeClosing{it->second});
@@ -116,7 +116,7 @@
            (g == nullptr || g->writer().stored() == g->writer().enqueued());
   }
   // A worker's word that reached another scheduler. False: no such job is held here.
-  bool TakeWord(core::HopCallback news, CommitBarrier::StoredCallback told) {
+  bool HandleReport(core::HopCallback news, CommitBarrier::StoredCallback told) {
     const durable::JobManager* job_manager = reducer_.job_manager();
     if (job_manager == nullptr) return false;
     if (job_manager->table().Find(news.id) == nullptr) {
@@ -131,8 +131,8 @@
   }
   // What is known here of a job, once that is stored. `told` is called once, perhaps within: with the job,
   // null where there is none, and whether that can be told at this moment.
-  void Find(const std::string& name, bool is_alias,
-            std::function<void(const durable::Job* job, bool known_now)> told) {
+  void FindJob(const std::string& name, bool is_alias,
+               std::function<void(const durable::Job* job, bool known_now)> told) {
     const durable::JobManager* job_manager = reducer_.job_manager();
     const std::string* by_alias =
         job_manager != nullptr && is_alias ? job_manager->table().FindByAlias(name) : nullptr;
@@ -143,11 +143,11 @@
                    bool stored) { told(reducer_.job_manager()->table().Find(id), stored); },
                job_manager->StoreIdOf(id));
   }
-  bool coming() const { return !coming_.empty(); }  // more jobs than are known so far
+  bool adopting() const { return !coming_.empty(); }  // more jobs than are known so far
   // Stored means: on a majority of the copies, and another may answer otherwise from what is not.
-  bool copied() const { return copied_; }
+  bool replicated() const { return copied_; }
   // They are another's from here on.
-  void Lose(const std::string& group, bool own) {
+  void LoseGroup(const std::string& group, bool own) {
     const auto it = store_ids_.find(group);
     const int store_id = own ? 0 : it == store_ids_.end() ? -1 : it->second;
     const auto here = barriers_.find(store_id);
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -267,7 +267,7 @@
   Folder folder;
   net::BufferPool pool(256);
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
+  net::StreamContext shared{loop, pool, false};
   ReplicaManager::Settings settings;
   settings.fleet = "f";
   settings.name = "s1";
@@ -293,7 +293,7 @@
   {
     const auto store = open();
     EXPECT_EQ(Jobs(*store), 1u) << "its contents are the first snapshot";
-    store->LeaveLog();
+    store->ClearApplied();
   }
   EXPECT_EQ(groups(), 2u) << "the former group is kept";
 }
