--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -32,7 +32,7 @@
       limits.Arrived(now, i % 3, limits.HashOf(std::to_string(i), 0), false, true);
       limits.HopSent(now, i % 3, false);
       limits.HopEnded(now, i % 3, Result::kOk, 200'000, true);
-      limits.Due(now);
+      limits.Update(now);
     }
   }
   static Settings Enabled() {
@@ -56,7 +56,7 @@
       name[static_cast<std::size_t>(7 + i)] = static_cast<char>('0' + (n >> (4 * i) & 15));
     const auto hash = w.limits.HashOf(name, 0);
     benchmark::DoNotOptimize(w.limits.Arrived(w.now, 0, hash, false, true));
-    benchmark::DoNotOptimize(w.limits.Due(w.now));
+    benchmark::DoNotOptimize(w.limits.Update(w.now));
   }
   state.counters["table_bytes"] = static_cast<double>(w.limits.bytes());
 }
@@ -70,7 +70,7 @@
     const std::uint64_t key = ++n * 0x9e3779b97f4a7c15ULL;
     const auto hash = w.limits.HashOf({reinterpret_cast<const char*>(&key), sizeof key}, 0);
     benchmark::DoNotOptimize(w.limits.Arrived(w.now, 0, hash, false, true));
-    benchmark::DoNotOptimize(w.limits.Due(w.now));
+    benchmark::DoNotOptimize(w.limits.Update(w.now));
   }
   state.counters["table_bytes"] = static_cast<double>(w.limits.bytes());
 }
@@ -84,8 +84,8 @@
     const std::uint64_t key = ++n;
     const auto hash = w.limits.HashOf({reinterpret_cast<const char*>(&key), sizeof key}, 0);
     const auto came = w.limits.Arrived(w.now, 0, hash, false, true);
-    benchmark::DoNotOptimize(w.limits.Due(w.now));
-    benchmark::DoNotOptimize(w.limits.Refused(w.now, 0, hash, 500'000, came));
+    benchmark::DoNotOptimize(w.limits.Update(w.now));
+    benchmark::DoNotOptimize(w.limits.RequestShed(w.now, 0, hash, 500'000, came));
   }
 }
 BENCHMARK(RefusedAndBooked);
@@ -96,8 +96,8 @@
   for (auto _ : state) {
     w.now += 10;
     const auto came = w.limits.Arrived(w.now, 0, hash, true, true);
-    benchmark::DoNotOptimize(w.limits.Due(w.now));
-    benchmark::DoNotOptimize(w.limits.Refused(w.now, 0, hash, 500'000, came));
+    benchmark::DoNotOptimize(w.limits.Update(w.now));
+    benchmark::DoNotOptimize(w.limits.RequestShed(w.now, 0, hash, 500'000, came));
   }
 }
 BENCHMARK(Hammering);
@@ -108,7 +108,7 @@
     w.now += 100;
     w.limits.HopSent(w.now, 1, false);
     w.limits.HopEnded(w.now, 1, Result::kOk, 200'000, true);
-    benchmark::DoNotOptimize(w.limits.Due(w.now));
+    benchmark::DoNotOptimize(w.limits.Update(w.now));
   }
 }
 BENCHMARK(HopAndFinish);
--- a/bench/storm/sim.cpp
+++ b/bench/storm/sim.cpp
@@ -21,10 +21,10 @@
   app.add_option("--seconds", seconds);
   app.add_option("--at-once", plan.at_once, "Share of clients that come again at once");
   app.add_option("--stays", plan.stays, "Share of tries that stay with their scheduler");
-  app.add_option("--slack", plan.limits.intake.slack_share);
+  app.add_option("--slack", plan.limits.concurrency.slack_share);
   app.add_option("--only", only, "off or on");
-  app.add_option("--share", plan.limits.repeats.share);
-  app.add_option("--storm-share", plan.limits.repeats.storm_share);
+  app.add_option("--share", plan.limits.retries.share);
+  app.add_option("--storm-share", plan.limits.retries.storm_share);
   app.add_flag("--one-class", plan.one_class);
   app.add_flag("--unnamed", plan.unnamed, "Clients without a key");
   app.add_flag("--series", series, "Each second as well");
@@ -60,10 +60,10 @@
           std::printf(
               "  due %llu early %llu booked %llu unbooked %llu overbooked %llu further %llu spent %llu "
               "changes %zu by class %.2f %.2f %.2f\n",
-              (unsigned long long)o.limits.due, (unsigned long long)o.limits.early,
-              (unsigned long long)o.limits.booked, (unsigned long long)o.limits.unbooked,
-              (unsigned long long)o.limits.overbooked, (unsigned long long)o.limits.further_hops,
-              (unsigned long long)o.limits.budget_spent, o.changes.size(),
+              (unsigned long long)o.limits.on_time_retries, (unsigned long long)o.limits.early_retries,
+              (unsigned long long)o.limits.scheduled_sheds, (unsigned long long)o.limits.unscheduled_sheds,
+              (unsigned long long)o.limits.oversubscribed_retries, (unsigned long long)o.limits.further_hops,
+              (unsigned long long)o.limits.budget_exhausted, o.changes.size(),
               (double)o.served_by_class[0] / o.asked_by_class[0],
               (double)o.served_by_class[1] / o.asked_by_class[1],
               (double)o.served_by_class[2] / o.asked_by_class[2]);
--- a/bench/storm/world.cpp
+++ b/bench/storm/world.cpp
@@ -142,16 +142,16 @@
     for (const auto& r : reducers_) {
       if (r->limits() == nullptr) continue;
       const limits::Counters& c = r->limits()->counters();
-      out_.limits.due += c.due;
-      out_.limits.early += c.early;
-      out_.limits.booked += c.booked;
-      out_.limits.unbooked += c.unbooked;
-      out_.limits.overbooked += c.overbooked;
+      out_.limits.on_time_retries += c.on_time_retries;
+      out_.limits.early_retries += c.early_retries;
+      out_.limits.scheduled_sheds += c.scheduled_sheds;
+      out_.limits.unscheduled_sheds += c.unscheduled_sheds;
+      out_.limits.oversubscribed_retries += c.oversubscribed_retries;
       out_.limits.first_hops += c.first_hops;
       out_.limits.further_hops += c.further_hops;
-      out_.limits.budget_spent += c.budget_spent;
+      out_.limits.budget_exhausted += c.budget_exhausted;
       out_.limits.storms += c.storms;
-      out_.limits.repeats += c.repeats;
+      out_.limits.retries += c.retries;
     }
     return std::move(out_);
   }
--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -20,60 +20,60 @@
   return s;
 }
 
-limits::WatchSettings ReadWatch(const Section& in) {
-  limits::WatchSettings s;
+limits::StormSettings ReadWatch(const Section& in) {
+  limits::StormSettings s;
   s.window = in.Millis("window_ms", s.window, 500 * kMs, 60 * kSecond);
   s.rising = in.Number("rising", s.rising, 0.01, 1);
   s.storm = in.Number("storm", s.storm, 0.01, 1);
   if (s.storm <= s.rising) Fault(in.Path("storm"), "is not over " + in.Path("rising"));
   s.confirm = in.Millis("confirm_ms", s.confirm, 0, 10 * kSecond);
   s.settle = in.Millis("settle_ms", s.settle, 100 * kMs, 60 * kSecond);
-  s.least_arrivals = in.Number("least_arrivals", s.least_arrivals, 1, 1e6);
+  s.min_arrivals = in.Number("least_arrivals", s.min_arrivals, 1, 1e6);
   in.NoOthers();
   return s;
 }
 
 limits::ClientSettings ReadClients(const Section& in) {
   limits::ClientSettings s;
-  const auto most = in.Whole("most", static_cast<std::int64_t>(s.most), 256, 1 << 22);
+  const auto most = in.Whole("most", static_cast<std::int64_t>(s.max_clients), 256, 1 << 22);
   if ((most & (most - 1)) != 0) Fault(in.Path("most"), "is not a power of two");
-  s.most = static_cast<std::size_t>(most);
-  s.remember = in.Millis("remember_ms", s.remember, kSecond, 600 * kSecond);
+  s.max_clients = static_cast<std::size_t>(most);
+  s.retention = in.Millis("remember_ms", s.retention, kSecond, 600 * kSecond);
   in.NoOthers();
   return s;
 }
 
-limits::RepeatSettings ReadRepeats(const Section& in) {
-  limits::RepeatSettings s;
+limits::RetrySettings ReadRepeats(const Section& in) {
+  limits::RetrySettings s;
   s.share = in.Number("share", s.share, 0, 2);
   s.storm_share = in.Number("storm_share", s.storm_share, 0, 2);
   if (s.storm_share > s.share) Fault(in.Path("storm_share"), "is over " + in.Path("share"));
   s.floor_per_s = in.Number("floor_per_s", s.floor_per_s, 0, 1e6);
   s.reserved = in.Number("reserved", s.reserved, 0, 0.9);
-  s.keep = in.Millis("keep_ms", s.keep, kSecond, 600 * kSecond);
+  s.accrual_window = in.Millis("keep_ms", s.accrual_window, kSecond, 600 * kSecond);
   in.NoOthers();
   return s;
 }
 
-limits::IntakeSettings ReadIntake(const Section& in) {
-  limits::IntakeSettings s;
+limits::ConcurrencySettings ReadIntake(const Section& in) {
+  limits::ConcurrencySettings s;
   s.slack_share = in.Number("slack_share", s.slack_share, 0.05, 1);
   s.tolerance = in.Number("tolerance", s.tolerance, 1.05, 10);
-  s.least_out = in.Number("least_out", s.least_out, 1, 1e6);
-  s.measure = in.Millis("measure_ms", s.measure, 100 * kMs, 30 * kSecond);
+  s.min_in_flight = in.Number("least_out", s.min_in_flight, 1, 1e6);
+  s.rate_window = in.Millis("measure_ms", s.rate_window, 100 * kMs, 30 * kSecond);
   in.NoOthers();
   return s;
 }
 
-limits::ReturnSettings ReadReturns(const Section& in) {
-  limits::ReturnSettings s;
+limits::RetryScheduleSettings ReadReturns(const Section& in) {
+  limits::RetryScheduleSettings s;
   s.bin = in.Millis("bin_ms", s.bin, 10 * kMs, 5 * kSecond);
-  s.longest = in.Millis("longest_ms", s.longest, 10 * kMs, 60 * kSecond);
-  if (s.longest < s.bin) Fault(in.Path("longest_ms"), "is under " + in.Path("bin_ms"));
+  s.max_wait = in.Millis("longest_ms", s.max_wait, 10 * kMs, 60 * kSecond);
+  if (s.max_wait < s.bin) Fault(in.Path("longest_ms"), "is under " + in.Path("bin_ms"));
   s.tolerance = in.Millis("tolerance_ms", s.tolerance, 0, 5 * kSecond);
   s.grace = in.Millis("grace_ms", s.grace, 0, 60 * kSecond);
-  s.fill = in.Number("fill", s.fill, 0.05, 1);
-  s.for_returns = in.Number("for_returns", s.for_returns, 0.05, 1);
+  s.capacity_share = in.Number("fill", s.capacity_share, 0.05, 1);
+  s.min_retry_share = in.Number("for_returns", s.min_retry_share, 0.05, 1);
   in.NoOthers();
   return s;
 }
@@ -90,12 +90,12 @@
 limits::Settings ReadLimits(const Section& in) {
   limits::Settings s;
   s.enabled = in.Flag("enabled", s.enabled);
-  s.watch = ReadWatch(in.In("watch"));
+  s.storm = ReadWatch(in.In("watch"));
   s.clients = ReadClients(in.In("clients"));
-  s.repeats = ReadRepeats(in.In("repeats"));
-  s.intake = ReadIntake(in.In("intake"));
-  s.returns = ReadReturns(in.In("returns"));
-  s.accepts = ReadAccepts(in.In("accepts"));
+  s.retries = ReadRepeats(in.In("repeats"));
+  s.concurrency = ReadIntake(in.In("intake"));
+  s.retry_schedule = ReadReturns(in.In("returns"));
+  s.accept = ReadAccepts(in.In("accepts"));
   in.NoOthers();
   return s;
 }
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -92,8 +92,8 @@
     const auto it = jobs_.find(refuse->id);
     const bool told = limits_ && it != jobs_.end() && !it->second.answered;
     FinalAnswer(refuse->id, AnswerKind::kShed,
-                told ? limits_->Refused(now_, it->second.job_class, it->second.client, refuse->retry_after,
-                                        it->second.came)
+                told ? limits_->RequestShed(now_, it->second.job_class, it->second.client,
+                                            refuse->retry_after, it->second.came)
                      : refuse->retry_after,
                 {});
   } else if (const auto* fail = std::get_if<pebblenotch::Fail>(&action)) {
@@ -167,7 +167,7 @@
   if (e.no_capacity || ShedsAllArrivals(now_)) {
     GiveFigures();
     const Micros wait =
-        limits_ ? limits_->Refused(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.came)
+        limits_ ? limits_->RequestShed(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.came)
                 : kNoCapacityRetryAfter;
     return FinalAnswer(ticket, AnswerKind::kShed, wait, {});
   }
@@ -338,7 +338,8 @@
 // The module acts on figures when it is next told of something: they bring about no action by themselves.
 void Reducer::GiveFigures() {
   std::vector<pebblenotch::Action> none;
-  if (const auto figures = limits_ ? limits_->Due(now_) : std::nullopt) module_.handle(now_, *figures, none);
+  if (const auto figures = limits_ ? limits_->Update(now_) : std::nullopt)
+    module_.handle(now_, *figures, none);
 }
 
 void Reducer::On(DrainStarted&) {
--- a/src/discovery/list_lease.cpp
+++ b/src/discovery/list_lease.cpp
@@ -5,7 +5,7 @@
 namespace heronway::discovery {
 
 ListLease::ListLease(Micros began, Micros grace)
-    : began_(began), good_for_(kCountsAsTold + std::max<Micros>(grace, 0) - kMargin) {}
+    : began_(began), good_for_(kPropagationDeadline + std::max<Micros>(grace, 0) - kSafetyMargin) {}
 
 void ListLease::Confirmed(Micros at) {
   confirmed_ = std::max(confirmed_, at);
@@ -19,13 +19,13 @@
   unusable_ = unusable_ || failure == CallFailure::kUnusable;
   if (failure == CallFailure::kUnusable) return;
   const bool starting = confirmed_ == 0 && outage_seen_ == 0;
-  const bool sure = refusals_ >= kRefusalsAtStart || now >= began_ + kStartPatience;
+  const bool sure = refusals_ >= kRefusalsAtStartup || now >= began_ + kStartupPatience;
   if (!starting || sure) outage_seen_ = now;
 }
 
 Micros ListLease::ValidUntil() const {
   const Micros by_confirmation = confirmed_ == 0 ? 0 : confirmed_ + good_for_;
-  const Micros by_outage = unusable_ || outage_seen_ == 0 ? 0 : outage_seen_ + kOutageSeen;
+  const Micros by_outage = unusable_ || outage_seen_ == 0 ? 0 : outage_seen_ + kOutageValidity;
   return std::max(by_confirmation, by_outage);
 }
 
--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -1,13 +1,13 @@
 // How long the list of targets may be acted on. Pure: it has no clock and no I/O.
 //
-// What discovery has to tell counts as told kCountsAsTold after discovery had it and could be reached,
+// What discovery has to tell counts as told kPropagationDeadline after discovery had it and could be reached,
 // arrived or not. Attempts at a target that leaves must have stopped a grace after that. So the list is good
 // for as long after discovery last confirmed it, and no longer, with three cases of their own:
 //
 //  - A process that starts has a list of unknown age. It may not act on it before discovery has answered.
 //  - While discovery cannot be reached nothing counts as told, and the list stays in force: an outage of
 //    discovery must not become one of the service. What shows that is a call that failed without a word of
-//    a list (CallFailure::kUnreachable, kRefused), and it shows it for kOutageSeen.
+//    a list (CallFailure::kUnreachable, kRefused), and it shows it for kOutageValidity.
 //  - Answers that came and could not be used show that discovery can be reached: then the list runs out.
 #ifndef HERONWAY_DISCOVERY_LIST_LEASE_H_
 #define HERONWAY_DISCOVERY_LIST_LEASE_H_
@@ -43,17 +43,17 @@
   // Until when it may be, if discovery says nothing; a time that has passed where it may not.
   Micros ValidUntil() const;
 
-  static constexpr Micros kCountsAsTold = 6'000'000;
+  static constexpr Micros kPropagationDeadline = 6'000'000;
   // A process may be held up for 0.15 s between its decision and the bytes, and an answer takes a while.
-  static constexpr Micros kMargin = 250'000;
+  static constexpr Micros kSafetyMargin = 250'000;
   // Calls that fail come more often than this, so that an outage that lasts is seen again and again. A
   // process that was held up for long has seen none, and asks before it acts.
-  static constexpr Micros kOutageSeen = 5'500'000;
+  static constexpr Micros kOutageValidity = 5'500'000;
   // A process that starts during an outage acts on the list that it has once calls have failed for so long,
   // or so many in a row were refused.
   // A crowd of processes that start together may wait for a few calls each; all must be ready within 10 s.
-  static constexpr Micros kStartPatience = 8'000'000;
-  static constexpr int kRefusalsAtStart = 3;
+  static constexpr Micros kStartupPatience = 8'000'000;
+  static constexpr int kRefusalsAtStartup = 3;
 
  private:
   Micros began_, good_for_;
--- a/src/discovery/route_table.h
+++ b/src/discovery/route_table.h
@@ -30,8 +30,8 @@
   pebblenotch::WorkerEntry entry;  // as the module was told last
   std::string zone, kind;          // as discovery names them
   std::vector<std::string> labels;
-  core::Micros told_start = 0;   // startedAtMs, in microseconds of the wall clock of whoever told it
-  core::Micros heard_since = 0;  // its last start by others' word, where that is later than the list's
+  core::Micros reported_start = 0;  // startedAtMs, in microseconds of the wall clock of whoever told it
+  core::Micros observed_start = 0;  // its last start by others' word, where that is later than the list's
 };
 
 class RouteTable {
@@ -46,39 +46,39 @@
   // where it is changes to a list before the one that is known: then the table is as it was.
   //
   // A start that is new here counts from `now.steady`: that the process began earlier is only claimed, by two
-  // wall clocks of which either may be wrong (WorkerEntry::claimed_started_at). An age beyond kBeyondDoubt is
+  // wall clocks of which either may be wrong (WorkerEntry::claimed_started_at). An age beyond kTrustedAge is
   // believed.
-  std::optional<core::RoutesChanged> Take(const Json::Value& answer, core::ListKind least,
-                                          const ClockReading& now = {});
+  std::optional<core::RoutesChanged> Apply(const Json::Value& answer, core::ListKind least,
+                                           const ClockReading& now = {});
 
   // More than a clock may be wrong by, with an hour to spare.
-  static constexpr core::Micros kBeyondDoubt = 7'200'000'000;
+  static constexpr core::Micros kTrustedAge = 7'200'000'000;
   // Two readings of clocks that agree differ by less.
-  static constexpr core::Micros kSameClock = 1'000;
+  static constexpr core::Micros kClockTolerance = 1'000;
 
   // The answer is changes, and of an earlier generation than the table's.
-  bool Older(const Json::Value& answer) const;
+  bool IsOutdated(const Json::Value& answer) const;
 
   // Others have seen a later start of a target than the list tells. Nothing where it is not listed, or known
   // to be as late: a target is never made warmer by it.
-  std::optional<core::RoutesChanged> Started(core::TargetId id, core::Micros since,
-                                             const ClockReading& now = {});
+  std::optional<core::RoutesChanged> RecordRestart(core::TargetId id, core::Micros since,
+                                                   const ClockReading& now = {});
   // All that is known by name, with its groups asked for anew.
-  core::RoutesChanged Regroup();
+  core::RoutesChanged RefreshGroups();
   // The list as it stands.
-  core::RoutesChanged Whole();
+  core::RoutesChanged FullList();
 
   const Route* Find(core::TargetId id) const;
   std::optional<core::TargetId> IdOf(const std::string& name) const;
   // The id that a name has in every life, unless two names share it.
-  static core::TargetId UsualIdOf(const std::string& name);
+  static core::TargetId DefaultIdOf(const std::string& name);
   std::uint64_t generation() const { return generation_; }
   // Another discovery counts generations of its own. What is listed stays until it has told its list.
-  void ForgetGeneration() { generation_ = 0; }
+  void ResetGeneration() { generation_ = 0; }
   bool AnyReady() const;
   std::size_t Count(pebblenotch::WorkerState state) const;  // of those listed
   // Listed now: those that a whole list left out, or a change called gone, are kept by name but not counted.
-  std::size_t Listed() const { return routes_.size() - Count(pebblenotch::WorkerState::kGone); }
+  std::size_t CountListed() const { return routes_.size() - Count(pebblenotch::WorkerState::kGone); }
 
  private:
   core::TargetId Intern(const std::string& name);
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -54,10 +54,10 @@
   if (stream_) stream_->Close(net::Reason::kShutdown);
 }
 
-void Watch::MoveTo(const net::Address& at) {
+void Watch::SetAddress(const net::Address& at) {
   Stop();
   at_ = at;
-  table_.ForgetGeneration();
+  table_.ResetGeneration();
   moved_ = true;
   Call();
 }
@@ -105,19 +105,19 @@
   std::optional<core::RoutesChanged> change;
   try {
     if (json->parse(answer.body.data(), answer.body.data() + answer.body.size(), &root, nullptr))
-      change = table_.Take(root, moved_ ? ListKind::kWhole : ListKind::kChanges,
-                           {shared_.loop.Now(), net::Loop::WallClock()});
+      change = table_.Apply(root, moved_ ? ListKind::kWhole : ListKind::kChanges,
+                            {shared_.loop.Now(), net::Loop::WallClock()});
   } catch (const Json::Exception&) {
   }
   if (!change) {
     // Changes that are older than what is known here tell nothing of what came between.
-    const bool older = table_.Older(root);
+    const bool older = table_.IsOutdated(root);
     moved_ = moved_ || older;
     return Fail(older ? Failure::kOldAnswer : Failure::kBadMessage, net::Reason::kBadMessage);
   }
   LogAnswer(from, *change);
   lease_.Confirmed(answer_began_);
-  heard_at_ = shared_.loop.Now();
+  last_answer_at_ = shared_.loop.Now();
   quick_failures_ = 0;
   if (!answer.keep_alive) stream_->Close(net::Reason::kAnswered);
   if (used < bytes.size()) stream_->Close(net::Reason::kProtocol);  // nobody asked for what is behind it
@@ -136,8 +136,8 @@
   log::Event(valid ? log::Level::kInfo : log::Level::kWarn, "discovery",
              {{"list", valid ? "in_force" : "out_of_date"},
               {"generation", table_.generation()},
-              {"listed", table_.Listed()}});
-  changed_(valid ? table_.Whole() : core::RoutesChanged{ListKind::kWhole, {}});
+              {"listed", table_.CountListed()}});
+  changed_(valid ? table_.FullList() : core::RoutesChanged{ListKind::kWhole, {}});
   return valid;
 }
 
@@ -157,7 +157,7 @@
               {"from", from},
               {"generation", table_.generation()},
               {"entries", change.entries.size()},
-              {"listed", table_.Listed()},
+              {"listed", table_.CountListed()},
               {"took_ms", (shared_.loop.Now() - began_) / 1000},
               {"targets", named}});
 }
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -28,18 +28,18 @@
   // The same by the clock: a process that was held up may look before its timers do.
   bool Valid() const { return lease_.Valid(shared_.loop.Now()); }
   // The first call, within kStartSpread: a process that starts can act on nothing before it is answered.
-  void Begin() { again_.Start(Part(kStartSpread)); }
+  void ScheduleFirstCall() { again_.Start(Part(kStartSpread)); }
   void Start();
   void Stop();
   // When discovery answered last with what could be used; 0: it has not.
-  Micros heard_at() const { return heard_at_; }
+  Micros last_answer_at() const { return last_answer_at_; }
   // Turns to discovery at another address, at once: its whole list first, then the watch on it.
-  void MoveTo(const net::Address& at);
+  void SetAddress(const net::Address& at);
 
   // The one clock of freshness. What discovery has counts as told 6 s later, whether or not it arrived, after
   // a call that failed or was given up as well. All times run from the beginning of a call: a silent one is
   // given up after its hold and the patience, and the next must be answered within the 6 s.
-  static constexpr Micros kCountsAsTold = ListLease::kCountsAsTold;
+  static constexpr Micros kPropagationDeadline = ListLease::kPropagationDeadline;
   // How long discovery may hold a call that has nothing new, at most and by how much less, drawn for each
   // call; and how much longer an answer may take.
   static constexpr Micros kHold = 2'500'000, kHoldSpread = 500'000, kPatience = 2'000'000;
@@ -52,8 +52,9 @@
   // by lot.
   static constexpr Micros kQuickFailure = 1'000'000, kQuickRetry = 150'000;
   static constexpr Micros kStartSpread = 100'000;
-  static_assert(kHold + kPatience + kReopen < ListLease::kOutageSeen);
-  static_assert(kHold + kPatience + kReopen < kCountsAsTold && kCallGap * 5 / 4 + kPatience < kCountsAsTold);
+  static_assert(kHold + kPatience + kReopen < ListLease::kOutageValidity);
+  static_assert(kHold + kPatience + kReopen < kPropagationDeadline &&
+                kCallGap * 5 / 4 + kPatience < kPropagationDeadline);
   // A whole list is not held back. Until the first one of a new address is there, what it tells counts as
   // told all the same: it is asked again sooner than the module would.
   static constexpr Micros kListPatience = 1'500'000, kAskAgain = 200'000;
@@ -85,7 +86,7 @@
   net::Timer expiry_;  // of the lease
   ListLease lease_;
   bool usable_ = false;
-  Micros heard_at_ = 0;
+  Micros last_answer_at_ = 0;
   Micros began_ = 0;         // the last call
   Micros answer_began_ = 0;  // when its answer began to arrive; 0: it did not
   int quick_failures_ = 0;   // in a row
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -63,7 +63,7 @@
                         config.seed + 3),
           "faktory"),
       listener_(
-          shared.loop, faktory.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
+          shared.loop, faktory.listen, options.limits.accept, [this](bool must) { return MakeRoom(must); },
           [this](int fd, const net::Address& from) { Accepted(fd, from); }),
       most_bytes_(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 / 16) {
   // Its part of the descriptors; the HTTP front's parts leave this much.
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -88,14 +88,14 @@
                driver_.Post(std::move(change));
              }),
       listener_(
-          shared.loop, config.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
+          shared.loop, config.listen, options.limits.accept, [this](bool must) { return MakeRoom(must); },
           [this](int fd, const net::Address& from) { Accepted(fd, from); }),
       close_idle_(shared.loop, [this] { CloseIdle(); }) {
   if (durable()) driver_.Post(core::StoreLoaded{});
   // Its age is not known: the decisions hear of it once the watch says that it may be acted on.
-  routes_.Take(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
+  routes_.Apply(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
-  watch_.Begin();
+  watch_.ScheduleFirstCall();
 }
 
 Front::~Front() { watch_.Stop(); }
@@ -165,11 +165,11 @@
 
 // Rules name other groups of targets.
 void Front::RulesChanged() {
-  core::RoutesChanged change = routes_.Regroup();
+  core::RoutesChanged change = routes_.RefreshGroups();
   if (watch_.usable()) driver_.Post(std::move(change));
 }
 
-void Front::SetDiscoveryAddress(const net::Address& at) { watch_.MoveTo(at); }
+void Front::SetDiscoveryAddress(const net::Address& at) { watch_.SetAddress(at); }
 
 // ---- ingress
 void Front::Accepted(int fd, const net::Address& from) {
@@ -321,7 +321,7 @@
   auto from = routes_.IdOf(root["from"].asString());
   // After a crash a call-back may come before discovery has told who it is from.
   if (!from && durable() && reducer().keeper()->book().Find(news.id) != nullptr)
-    from = discovery::RouteTable::UsualIdOf(root["from"].asString());
+    from = discovery::RouteTable::DefaultIdOf(root["from"].asString());
   // Guards a job of the other process on the same address while one replaces the other: a call-back that
   // reached the process which never held the job is refused and its connection closed, so that the worker
   // calls again, on a new connection that the kernel may give to the one that holds it.
@@ -331,7 +331,7 @@
   }
   const bool elsewhere = forward_report_ && known != kStates.end() && !reducer().IsPending(news.id) &&
                          reducer().keeper()->book().Find(news.id) == nullptr;
-  if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
+  if (elsewhere && !from) from = discovery::RouteTable::DefaultIdOf(root["from"].asString());
   if (known == kStates.end() || !from) return in.Answer(200, {}, {});
   news.from = *from;
   news.state = known->second;
@@ -416,7 +416,8 @@
   if (hint.kind == cluster::FactKind::kStarted) {
     // A start that lies ahead is nobody's sight: such a target would be cold for ever.
     if (hint.since > shared_.loop.Now() + kClocksMay) return;
-    auto change = routes_.Started(hint.target, hint.since, {shared_.loop.Now(), net::Loop::WallClock()});
+    auto change =
+        routes_.RecordRestart(hint.target, hint.since, {shared_.loop.Now(), net::Loop::WallClock()});
     if (change && watch_.usable()) driver_.Post(std::move(*change));
     return;
   }
@@ -430,9 +431,9 @@
 // Guards a target that is cold, and that nobody can say so of, against the traffic of a warm one.
 void Front::Dialled(core::TargetId target, bool came_up) {
   const Micros now = shared_.loop.Now();
-  if (!came_up) return restarts_.Refused(target, now);
-  if (!restarts_.CameUp(target, watch_.heard_at())) return;
-  auto change = routes_.Started(target, now, {now, net::Loop::WallClock()});
+  if (!came_up) return restarts_.ConnectionRefused(target, now);
+  if (!restarts_.ConnectionEstablished(target, watch_.last_answer_at())) return;
+  auto change = routes_.RecordRestart(target, now, {now, net::Loop::WallClock()});
   if (!change) return;
   log::Event(log::Level::kInfo, "restarted", {{"target", routes_.Find(target)->name, true}});
   PublishObservations(*change);
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -15,7 +15,7 @@
 #include "src/cluster/membership/membership.h"
 #include "src/config/config.h"
 #include "src/config/options.h"
-#include "src/discovery/unheard_restarts.h"
+#include "src/discovery/restart_detector.h"
 #include "src/discovery/watch.h"
 #include "src/fronts/http/budget.h"
 #include "src/fronts/http/egress.h"
@@ -40,7 +40,7 @@
   // An operator's drain (`on`) or its end: no to /ready, idle clients closed, all else served as before.
   void SetCordoned(bool on);
   bool Ready() const;  // what /ready says
-  std::size_t CountListedTargets() const { return routes_.Listed(); }
+  std::size_t CountListedTargets() const { return routes_.CountListed(); }
   std::size_t CountUnselectableTargets()
       const;  // listed as ready, and the module would draw none of them for any class
   void SetDiscoveryAddress(const net::Address& at);  // its list replaces the present one once it is there
@@ -171,7 +171,7 @@
   std::function<void(const cluster::TargetObservation&)> observation_sink_;  // null where the cluster is off
   Budget budget_;
   discovery::RouteTable routes_;
-  discovery::UnheardRestarts restarts_;
+  discovery::RestartDetector restarts_;
   Egress egress_;
   net::Driver driver_;
   std::function<std::size_t()> unused_descriptors_;  // null: nothing is lent
--- a/src/fronts/log_reports.cpp
+++ b/src/fronts/log_reports.cpp
@@ -38,7 +38,7 @@
               {"arrivals_per_s", c.arrivals_per_s},
               {"missing_share", change.missing_share},
               {"starts_per_s", change.starts_per_s},
-              {"booked", change.booked}});
+              {"booked", change.scheduled_retries}});
 }
 
 void LogRuleHits(const match::Service* rules) {
@@ -119,15 +119,15 @@
              {{"front", front, true},
               {"limits", limits::NameOf(limits->state())},
               {"storms", l.storms},
-              {"repeats", l.repeats},
-              {"due", l.due},
-              {"early", l.early},
-              {"overbooked", l.overbooked},
-              {"booked", l.booked},
-              {"unbooked", l.unbooked},
+              {"repeats", l.retries},
+              {"due", l.on_time_retries},
+              {"early", l.early_retries},
+              {"overbooked", l.oversubscribed_retries},
+              {"booked", l.scheduled_sheds},
+              {"unbooked", l.unscheduled_sheds},
               {"first_hops", l.first_hops},
               {"further_hops", l.further_hops},
-              {"budget_spent", l.budget_spent}});
+              {"budget_spent", l.budget_exhausted}});
 }
 
 void LogDurableCounters(std::string_view front, const net::Driver& driver) {
--- a/src/limits/accept_pacer.h
+++ b/src/limits/accept_pacer.h
@@ -13,8 +13,8 @@
  public:
   explicit AcceptPacer(const AcceptSettings& settings) : settings_(settings), tokens_(settings.burst) {}
 
-  // Whether a connection may be accepted now; `Took` says that one was.
-  bool Ready(Micros now) {
+  // Whether a connection may be accepted now; `Accepted` says that one was.
+  bool MayAccept(Micros now) {
     if (settings_.per_s <= 0) return true;
     if (filled_ >= 0 && now > filled_) {
       const double passed = static_cast<double>(now - filled_) / 1e6;
@@ -22,21 +22,21 @@
     }
     filled_ = std::max(filled_, now);
     if (tokens_ < 1) {
-      ++paced_;
+      ++delayed_;
       return false;
     }
     return true;
   }
-  void Took() {
+  void Accepted() {
     if (settings_.per_s > 0) tokens_ -= 1;
   }
-  std::uint64_t paced() const { return paced_; }  // times that a connection had to wait
+  std::uint64_t delayed() const { return delayed_; }  // times that a connection had to wait
 
  private:
   AcceptSettings settings_;
   double tokens_;
   Micros filled_ = -1;
-  std::uint64_t paced_ = 0;
+  std::uint64_t delayed_ = 0;
 };
 
 }  // namespace heronway::limits
--- a/src/limits/client_table.cpp
+++ b/src/limits/client_table.cpp
@@ -10,8 +10,8 @@
 
 ClientTable::ClientTable(const ClientSettings& settings, std::uint64_t seed)
     : seed_(seed),
-      remember_(static_cast<std::uint32_t>(settings.remember / 1000)),
-      sets_(std::bit_ceil(std::max<std::size_t>(settings.most, 4)) / std::tuple_size_v<Set>) {}
+      remember_(static_cast<std::uint32_t>(settings.retention / 1000)),
+      sets_(std::bit_ceil(std::max<std::size_t>(settings.max_clients, 4)) / std::tuple_size_v<Set>) {}
 
 ClientHash ClientTable::HashOf(std::string_view name, std::uint64_t scope) const {
   if (name.empty()) return 0;
--- a/src/limits/intake_limit.cpp
+++ b/src/limits/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-#include "src/limits/intake_limit.h"
+#include "src/limits/concurrency_limit.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-IntakeLimit::IntakeLimit(const IntakeSettings& settings, int classes)
+ConcurrencyLimit::ConcurrencyLimit(const ConcurrencySettings& settings, int classes)
     : settings_(settings),
       usual_(static_cast<std::size_t>(classes)),
-      limit_(std::max(kFirstLimit, settings.least_out)),
-      finished_(settings.measure) {}
+      limit_(std::max(kFirstLimit, settings.min_in_flight)),
+      finished_(settings.rate_window) {}
 
-void IntakeLimit::Observe(double ratio, double out) {
+void ConcurrencyLimit::Observe(double ratio, double out) {
   ratio = std::min(ratio, kMostRatio);
   short_ += kShort * (ratio - short_);
   long_ += kLong * (ratio - long_);
@@ -29,11 +29,11 @@
   if (out < limit_ / 2 && short_ <= settings_.tolerance * long_) return;
   const double gradient = std::clamp(settings_.tolerance * long_ / std::max(short_, 1e-9), 0.5, 1.0);
   const double wanted = limit_ * gradient + std::sqrt(limit_);
-  limit_ = std::clamp(limit_ + kSmooth * (wanted - limit_), settings_.least_out, kMostLimit);
+  limit_ = std::clamp(limit_ + kSmooth * (wanted - limit_), settings_.min_in_flight, kMostLimit);
 }
 
-void IntakeLimit::Finished(Micros now, int job_class, Micros time, double out, double strength,
-                           bool saturated) {
+void ConcurrencyLimit::Finished(Micros now, int job_class, Micros time, double out, double strength,
+                                bool saturated) {
   finished_.Add(now, 1);
   const auto t = static_cast<double>(std::max<Micros>(time, 1));
   Usual& usual = usual_[static_cast<std::size_t>(job_class)];
@@ -51,18 +51,18 @@
   }
 }
 
-void IntakeLimit::TimedOut(Micros, int job_class, Micros time) {
+void ConcurrencyLimit::TimedOut(Micros, int job_class, Micros time) {
   const Usual& usual = usual_[static_cast<std::size_t>(job_class)];
   if (usual.time > 0) Observe(std::max(1.0, static_cast<double>(time) / usual.time), limit_);
 }
 
-double IntakeLimit::StartsPerSecond(Micros now, double strength) {
+double ConcurrencyLimit::StartsPerSecond(Micros now, double strength) {
   const double rate = finished_.Rate(now);
   if (usual_strength_ <= 0 || strength <= 0) return rate;
   return rate * std::clamp(strength / usual_strength_, 0.25, 4.0);
 }
 
-double IntakeLimit::CostOf(int job_class) const {
+double ConcurrencyLimit::CostOf(int job_class) const {
   const double time = usual_[static_cast<std::size_t>(job_class)].time;
   return time <= 0 || mean_time_ <= 0 ? 1 : std::clamp(time / mean_time_, 0.1, 10.0);
 }
--- a/src/limits/intake_limit.h
+++ b/src/limits/concurrency_limit.h
@@ -9,8 +9,8 @@
 // Rate of starts: what the fleet has finished of late, corrected by how its strength changes (dead workers,
 // the ramp of cold ones). N schedulers share a fleet without knowing of each other: each sees only its own
 // finishes, which are its part.
-#ifndef HERONWAY_LIMITS_INTAKE_LIMIT_H_
-#define HERONWAY_LIMITS_INTAKE_LIMIT_H_
+#ifndef HERONWAY_LIMITS_CONCURRENCY_LIMIT_H_
+#define HERONWAY_LIMITS_CONCURRENCY_LIMIT_H_
 
 #include <vector>
 
@@ -18,9 +18,9 @@
 
 namespace heronway::limits {
 
-class IntakeLimit {
+class ConcurrencyLimit {
  public:
-  IntakeLimit(const IntakeSettings& settings, int classes);
+  ConcurrencyLimit(const ConcurrencySettings& settings, int classes);
 
   // A hop ended with an answer. `out`: hops that were out with it; `strength`: of the fleet, now;
   // `saturated`: jobs wait or are refused, so that what finishes is what the fleet can do.
@@ -42,7 +42,7 @@
   };
   void Observe(double ratio, double out);
 
-  IntakeSettings settings_;
+  ConcurrencySettings settings_;
   std::vector<Usual> usual_;
   double mean_time_ = 0;
   double short_ = 1, long_ = 1;  // of the times, as multiples of the usual
@@ -54,4 +54,4 @@
 
 }  // namespace heronway::limits
 
-#endif  // HERONWAY_LIMITS_INTAKE_LIMIT_H_
+#endif  // HERONWAY_LIMITS_CONCURRENCY_LIMIT_H_
--- a/src/limits/fleet_ramp.cpp
+++ b/src/limits/fleet_capacity.cpp
@@ -1,10 +1,10 @@
-#include "src/limits/fleet_ramp.h"
+#include "src/limits/fleet_capacity.h"
 
 #include <algorithm>
 
 namespace heronway::limits {
 
-void FleetRamp::Take(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole) {
+void FleetCapacity::Take(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole) {
   ++list_;
   for (const auto& e : entries) {
     Member& m = members_[e.id];
@@ -27,7 +27,7 @@
   Sort(now);
 }
 
-void FleetRamp::Sort(Micros now) {
+void FleetCapacity::Sort(Micros now) {
   warm_ = 0;
   cold_.clear();
   left_.clear();
@@ -44,7 +44,7 @@
   std::sort(cold_.begin(), cold_.end());
 }
 
-double FleetRamp::StrengthAt(Micros at) const {
+double FleetCapacity::StrengthAt(Micros at) const {
   double strength = warm_;
   for (const Micros since : cold_) {
     const double risen =
@@ -54,7 +54,7 @@
   return strength;
 }
 
-double FleetRamp::MissingShare(Micros now) const {
+double FleetCapacity::MissingShare(Micros now) const {
   const auto mourned =
       std::count_if(left_.begin(), left_.end(), [now](Micros l) { return l >= now - kMourned; });
   const double usual = warm_ + static_cast<double>(cold_.size()) + static_cast<double>(mourned);
--- a/src/limits/fleet_ramp.h
+++ b/src/limits/fleet_capacity.h
@@ -1,8 +1,8 @@
 // What share of its usual strength the fleet has, now and at times to come: workers that are missing count
 // for nothing, cold ones rise evenly from `cold_from` to the full over `warm_up`, as the rules of the site
 // state it. The unit is one warm worker.
-#ifndef HERONWAY_LIMITS_FLEET_RAMP_H_
-#define HERONWAY_LIMITS_FLEET_RAMP_H_
+#ifndef HERONWAY_LIMITS_FLEET_CAPACITY_H_
+#define HERONWAY_LIMITS_FLEET_CAPACITY_H_
 
 #include <span>
 #include <unordered_map>
@@ -12,9 +12,9 @@
 
 namespace heronway::limits {
 
-class FleetRamp {
+class FleetCapacity {
  public:
-  FleetRamp(double cold_from, Micros warm_up) : cold_from_(cold_from), warm_up_(warm_up) {}
+  FleetCapacity(double cold_from, Micros warm_up) : cold_from_(cold_from), warm_up_(warm_up) {}
 
   // `whole`: workers that are not named are gone.
   void Take(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole);
@@ -46,4 +46,4 @@
 
 }  // namespace heronway::limits
 
-#endif  // HERONWAY_LIMITS_FLEET_RAMP_H_
+#endif  // HERONWAY_LIMITS_FLEET_CAPACITY_H_
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -28,44 +28,45 @@
     : settings_(settings),
       clients_(settings.clients, seed),
       fleet_(site.slow_start_floor, std::max<Micros>(1, site.slow_start_time)),
-      intake_(settings.intake, static_cast<int>(site.classes.size())),
-      budget_(settings.repeats, static_cast<int>(site.classes.size()), Worthiest(site)),
-      watch_(settings.watch),
-      class_watches_(site.classes.size(), StormWatch(settings.watch)),
-      newcomers_(settings.watch.window),
-      calendar_(settings.returns, seed + 1, [this](Micros at) { return ReturnsAt(at); }) {}
+      intake_(settings.concurrency, static_cast<int>(site.classes.size())),
+      budget_(settings.retries, static_cast<int>(site.classes.size()), Worthiest(site)),
+      watch_(settings.storm),
+      class_watches_(site.classes.size(), StormDetector(settings.storm)),
+      newcomers_(settings.storm.window),
+      calendar_(settings.retry_schedule, seed + 1, [this](Micros at) { return ReturnsAt(at); }) {}
 
 bool Limits::Uncalm(int job_class) const {
-  const auto in = [](const StormWatch& w) { return w.state() != StormState::kCalm; };
+  const auto in = [](const StormDetector& w) { return w.state() != StormState::kCalm; };
   return in(watch_) || in(class_watches_[static_cast<std::size_t>(job_class)]);
 }
 
 // What the fleet can carry then, less what newcomers bring, but never less than the returns' own part: else a
 // crowd of newcomers would put off those who were asked to wait for ever.
 double Limits::ReturnsAt(Micros at) const {
-  const double carries = intake_.PerWorker() * fleet_.StrengthAt(at) * settings_.returns.fill;
-  return std::max(carries - newcomers_per_s_, carries * settings_.returns.for_returns);
+  const double carries =
+      intake_.PerWorker() * fleet_.StrengthAt(at) * settings_.retry_schedule.capacity_share;
+  return std::max(carries - newcomers_per_s_, carries * settings_.retry_schedule.min_retry_share);
 }
 
 Limits::Arrival Limits::Arrived(Micros now, int job_class, ClientHash client, bool marked, bool names_job) {
   Arrival came;
   const auto known = clients_.Touch(now, client);
-  came.repeat = marked || known.slot != 0 || (names_job && known.seen);
-  counters_.repeats += came.repeat ? 1 : 0;
-  watch_.Arrived(now, came.repeat);
-  class_watches_[static_cast<std::size_t>(job_class)].Arrived(now, came.repeat);
+  came.is_retry = marked || known.slot != 0 || (names_job && known.seen);
+  counters_.retries += came.is_retry ? 1 : 0;
+  watch_.Arrived(now, came.is_retry);
+  class_watches_[static_cast<std::size_t>(job_class)].Arrived(now, came.is_retry);
   const double cost = intake_.CostOf(job_class);
   if (known.slot != 0) {
     // In calm a client that comes early is welcome: there is room for it.
     came.early_by = watch_.state() == StormState::kCalm ? 0 : calendar_.EarlyBy(now, known.slot);
     if (came.early_by > 0) {
       came.return_timing = ReturnTiming::kEarly;
-      ++counters_.early;
+      ++counters_.early_retries;
       return came;
     }
     clients_.SetSlot(now, client, 0);
     if (calendar_.Claim(now, known.slot, cost)) came.return_timing = ReturnTiming::kDue;
-    if (came.return_timing != ReturnTiming::kDue) ++counters_.overbooked;
+    if (came.return_timing != ReturnTiming::kDue) ++counters_.oversubscribed_retries;
   } else if (client == 0 && marked) {
     // Of those that cannot be named, some one's time has come, or nobody's: then it came early. Guards those
     // who wait against those who come again at once.
@@ -73,19 +74,19 @@
       came.return_timing = ReturnTiming::kDue;
     } else if (watch_.state() != StormState::kCalm && calendar_.AnyAnonymous()) {
       came.return_timing = ReturnTiming::kEarly;
-      ++counters_.early;
+      ++counters_.early_retries;
       return came;
     }
   }
   if (came.return_timing == ReturnTiming::kDue) {
-    ++counters_.due;
+    ++counters_.on_time_retries;
   } else {
     newcomers_.Add(now, cost);
   }
   return came;
 }
 
-Micros Limits::Refused(Micros now, int job_class, ClientHash client, Micros advice, const Arrival& came) {
+Micros Limits::RequestShed(Micros now, int job_class, ClientHash client, Micros advice, const Arrival& came) {
   watch_.Refused(now);
   class_watches_[static_cast<std::size_t>(job_class)].Refused(now);
   if (came.early_by > 0) return came.early_by;  // its time stands as it was told
@@ -95,7 +96,7 @@
   // Nothing is known of what the fleet can carry: the module's own advice is all there is.
   if (intake_.PerWorker() <= 0 || !fleet_.known()) return advice;
   const auto booking = calendar_.Book(now, advice, intake_.CostOf(job_class), client == 0);
-  ++(booking.booked ? counters_.booked : counters_.unbooked);
+  ++(booking.booked ? counters_.scheduled_sheds : counters_.unscheduled_sheds);
   // Beyond the calendar's end there is no turn to give, but the time told holds: hammering gains nothing.
   clients_.SetSlot(now, client, booking.at);
   return booking.at - now;
@@ -134,21 +135,21 @@
   looked_ = -1;
 }
 
-std::optional<HostLimits> Limits::Due(Micros now) {
+std::optional<HostLimits> Limits::Update(Micros now) {
   HostLimits next = given_.value_or(HostLimits{});
   if (looked_ < 0 || now - looked_ >= kLook) {
     looked_ = now;
     const double missing = fleet_.MissingShare(now), strength = fleet_.StrengthAt(now);
     next.starts_per_s = intake_.StartsPerSecond(now, strength);
     next.max_outstanding = std::floor(intake_.MostOut());
-    newcomers_per_s_ = newcomers_.Sum(now) * 1e6 / static_cast<double>(settings_.watch.window);
+    newcomers_per_s_ = newcomers_.Sum(now) * 1e6 / static_cast<double>(settings_.storm.window);
     if (renewed_ < 0 || now - renewed_ >= kRenew) {
       renewed_ = now;
       calendar_.Renew(now);
     }
-    const auto step = [&](StormWatch& watch, int job_class) {
+    const auto step = [&](StormDetector& watch, int job_class) {
       watch.FleetIs(missing);
-      StormWatch::Change change;
+      StormDetector::Change change;
       if (watch.Step(now, change))
         changes_.push_back({job_class, change, missing, next.starts_per_s, calendar_.booked(now)});
     };
@@ -157,14 +158,14 @@
     counters_.storms = watch_.storms();
     next.shed_late = watch_.state() == StormState::kStorm || watch_.state() == StormState::kEasing;
   }
-  next.slack_share = settings_.intake.slack_share;
+  next.slack_share = settings_.concurrency.slack_share;
   next.retryable_classes = budget_.Allowed(now);
   const bool same = given_ && !Moved(given_->starts_per_s, next.starts_per_s) &&
                     !Moved(given_->max_outstanding, next.max_outstanding) &&
                     given_->shed_late == next.shed_late &&
                     given_->retryable_classes == next.retryable_classes;
   if (same) return std::nullopt;
-  if (given_ && (given_->retryable_classes & ~next.retryable_classes) != 0) ++counters_.budget_spent;
+  if (given_ && (given_->retryable_classes & ~next.retryable_classes) != 0) ++counters_.budget_exhausted;
   given_ = next;
   return next;
 }
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "src/limits/client_table.h"
-#include "src/limits/fleet_ramp.h"
-#include "src/limits/intake_limit.h"
-#include "src/limits/repeat_budget.h"
-#include "src/limits/return_calendar.h"
-#include "src/limits/storm_watch.h"
+#include "src/limits/concurrency_limit.h"
+#include "src/limits/fleet_capacity.h"
+#include "src/limits/retry_budget.h"
+#include "src/limits/retry_schedule.h"
+#include "src/limits/storm_detector.h"
 
 namespace heronway::limits {
 
@@ -24,24 +24,24 @@
 using pebblenotch::ReturnTiming;
 
 struct Counters {
-  std::uint64_t repeats = 0;     // arrivals that were repeats
-  std::uint64_t due = 0;         // that came in their time, and went before newcomers
-  std::uint64_t early = 0;       // that came too early, and were refused with the time left
-  std::uint64_t overbooked = 0;  // in their time, but the fleet had shrunk meanwhile
-  std::uint64_t booked = 0;      // refusals with a time of their own
-  std::uint64_t unbooked = 0;    // refusals beyond the calendar's end
+  std::uint64_t retries = 0;                 // arrivals that were repeats
+  std::uint64_t on_time_retries = 0;         // that came in their time, and went before newcomers
+  std::uint64_t early_retries = 0;           // that came too early, and were refused with the time left
+  std::uint64_t oversubscribed_retries = 0;  // in their time, but the fleet had shrunk meanwhile
+  std::uint64_t scheduled_sheds = 0;         // refusals with a time of their own
+  std::uint64_t unscheduled_sheds = 0;       // refusals beyond the calendar's end
   std::uint64_t first_hops = 0, further_hops = 0;
-  std::uint64_t budget_spent = 0;  // figures given that left a class without a further hop
+  std::uint64_t budget_exhausted = 0;  // figures given that left a class without a further hop
   std::uint64_t storms = 0;
 };
 
 // A change of the storm's state; `job_class` -1: of the whole.
 struct StormChange {
   int job_class;
-  StormWatch::Change change;
-  double missing_share;  // of the fleet's strength
-  double starts_per_s;   // of held jobs
-  double booked;         // returns that are due, in mean jobs
+  StormDetector::Change change;
+  double missing_share;      // of the fleet's strength
+  double starts_per_s;       // of held jobs
+  double scheduled_retries;  // returns that are due, in mean jobs
 };
 
 class Limits {
@@ -58,12 +58,12 @@
   // of late; else the name tells only whose turn it is.
   struct Arrival {
     ReturnTiming return_timing = ReturnTiming::kNew;
-    bool repeat = false;
+    bool is_retry = false;
     Micros early_by = 0;  // with kEarly, for one that was told a time by name
   };
   Arrival Arrived(Micros now, int job_class, ClientHash client, bool marked, bool names_job);
   // The module refused it, advising a wait. Gives the wait to tell.
-  Micros Refused(Micros now, int job_class, ClientHash client, Micros advice, const Arrival& came);
+  Micros RequestShed(Micros now, int job_class, ClientHash client, Micros advice, const Arrival& came);
   void HopSent(Micros now, int job_class, bool further);
   // `time`: since it was sent. `waiting`: jobs are held or were refused of late.
   void HopEnded(Micros now, int job_class, Result result, Micros time, bool waiting);
@@ -71,7 +71,7 @@
   void Connected(Micros now) { watch_.Connected(now); }
 
   // The figures for the module, where they differ from what it has; ask before it is told of anything.
-  std::optional<HostLimits> Due(Micros now);
+  std::optional<HostLimits> Update(Micros now);
   // Changes of state since the last call; ask until there is none.
   std::optional<StormChange> NextChange(Micros now);
 
@@ -85,14 +85,14 @@
 
   Settings settings_;
   ClientTable clients_;
-  FleetRamp fleet_;
-  IntakeLimit intake_;
-  RepeatBudget budget_;
-  StormWatch watch_;
-  std::vector<StormWatch> class_watches_;
+  FleetCapacity fleet_;
+  ConcurrencyLimit intake_;
+  RetryBudget budget_;
+  StormDetector watch_;
+  std::vector<StormDetector> class_watches_;
   Window newcomers_;  // in mean jobs
   double newcomers_per_s_ = 0;
-  ReturnCalendar calendar_;
+  RetrySchedule calendar_;
   Counters counters_;
   std::optional<HostLimits> given_;
   Micros looked_ = -1, renewed_ = -1, refused_ = -1;
--- a/src/limits/repeat_budget.cpp
+++ b/src/limits/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "src/limits/repeat_budget.h"
+#include "src/limits/retry_budget.h"
 
 #include <algorithm>
 
@@ -9,19 +9,19 @@
 
 }  // namespace
 
-RepeatBudget::RepeatBudget(const RepeatSettings& settings, int classes, int reserved)
+RetryBudget::RetryBudget(const RetrySettings& settings, int classes, int reserved)
     : settings_(settings),
       classes_(classes),
       reserved_(reserved),
-      first_(static_cast<std::size_t>(classes), Window(settings.keep)),
-      spent_(static_cast<std::size_t>(classes), Window(settings.keep)),
-      all_first_(settings.keep) {
+      first_(static_cast<std::size_t>(classes), Window(settings.accrual_window)),
+      spent_(static_cast<std::size_t>(classes), Window(settings.accrual_window)),
+      all_first_(settings.accrual_window) {
   const double floor = settings_.floor_per_s;
   shared_ = floor * (1 - settings_.reserved);
   reserve_ = floor * settings_.reserved;
 }
 
-void RepeatBudget::Refill(Micros now) {
+void RetryBudget::Refill(Micros now) {
   if (filled_ >= 0 && now > filled_) {
     const double passed = static_cast<double>(now - filled_) / 1e6;
     const double most_floor = settings_.floor_per_s;  // the floor is not saved up beyond one second
@@ -35,7 +35,7 @@
   filled_ = std::max(filled_, now);
 }
 
-void RepeatBudget::FirstHop(Micros now, int job_class, bool storm) {
+void RetryBudget::FirstHop(Micros now, int job_class, bool storm) {
   Refill(now);
   first_[static_cast<std::size_t>(job_class)].Add(now, 1);
   all_first_.Add(now, 1);
@@ -47,7 +47,7 @@
   reserve_ = std::min(reserve_ + share * part, std::max(1.0, most * part));
 }
 
-void RepeatBudget::FurtherHop(Micros now, int job_class) {
+void RetryBudget::FurtherHop(Micros now, int job_class) {
   Refill(now);
   spent_[static_cast<std::size_t>(job_class)].Add(now, 1);
   // The reserved class spends from the shared purse first: its own is for when the others have emptied that.
@@ -58,7 +58,7 @@
   }
 }
 
-bool RepeatBudget::Allows(Micros now, int job_class) {
+bool RetryBudget::Allows(Micros now, int job_class) {
   Refill(now);
   const auto c = static_cast<std::size_t>(job_class);
   if (job_class == reserved_ && reserve_ >= 1) return true;
@@ -67,7 +67,7 @@
   return shared_ >= 1 && spent_[c].Sum(now) < std::max(1.0, own);
 }
 
-std::uint64_t RepeatBudget::Allowed(Micros now) {
+std::uint64_t RetryBudget::Allowed(Micros now) {
   std::uint64_t bits = 0;
   for (int c = 0; c < classes_; ++c) {
     if (Allows(now, c)) bits |= 1ULL << std::min(c, 63);
--- a/src/limits/repeat_budget.h
+++ b/src/limits/retry_budget.h
@@ -5,8 +5,8 @@
 // class (the one of most worth) may spend from. A purse may go into debt by the few repeats that are decided
 // under one permission; it is paid back before the next is given, so the share holds in the long run. What is
 // saved up is bounded by the deposits of `keep`, so that a quiet hour does not pay for a storm.
-#ifndef HERONWAY_LIMITS_REPEAT_BUDGET_H_
-#define HERONWAY_LIMITS_REPEAT_BUDGET_H_
+#ifndef HERONWAY_LIMITS_RETRY_BUDGET_H_
+#define HERONWAY_LIMITS_RETRY_BUDGET_H_
 
 #include <cstdint>
 #include <vector>
@@ -15,10 +15,10 @@
 
 namespace heronway::limits {
 
-class RepeatBudget {
+class RetryBudget {
  public:
   // `reserved`: the class that keeps a part; -1: none.
-  RepeatBudget(const RepeatSettings& settings, int classes, int reserved);
+  RetryBudget(const RetrySettings& settings, int classes, int reserved);
 
   // `storm`: the class, or the whole, is in a storm: the smaller share applies.
   void FirstHop(Micros now, int job_class, bool storm);
@@ -32,7 +32,7 @@
  private:
   void Refill(Micros now);
 
-  RepeatSettings settings_;
+  RetrySettings settings_;
   int classes_, reserved_;
   double shared_ = 0, reserve_ = 0;
   std::vector<Window> first_, spent_;  // by class: no class spends more than its share, and half again
@@ -42,4 +42,4 @@
 
 }  // namespace heronway::limits
 
-#endif  // HERONWAY_LIMITS_REPEAT_BUDGET_H_
+#endif  // HERONWAY_LIMITS_RETRY_BUDGET_H_
--- a/src/limits/return_calendar.cpp
+++ b/src/limits/retry_schedule.cpp
@@ -1,4 +1,4 @@
-#include "src/limits/return_calendar.h"
+#include "src/limits/retry_schedule.h"
 
 #include <algorithm>
 #include <random>
@@ -11,24 +11,24 @@
 
 }  // namespace
 
-ReturnCalendar::ReturnCalendar(const ReturnSettings& settings, std::uint64_t seed, Forecast forecast)
+RetrySchedule::RetrySchedule(const RetryScheduleSettings& settings, std::uint64_t seed, Forecast forecast)
     : settings_(settings),
       random_(seed),
       forecast_(std::move(forecast)),
-      bins_(static_cast<std::size_t>((settings.longest + settings.grace) / settings.bin) + 3),
-      cells_(static_cast<std::size_t>((settings.longest + settings.grace + settings.bin) / kCell) + 3) {}
+      bins_(static_cast<std::size_t>((settings.max_wait + settings.grace) / settings.bin) + 3),
+      cells_(static_cast<std::size_t>((settings.max_wait + settings.grace + settings.bin) / kCell) + 3) {}
 
-Micros ReturnCalendar::Uniform(Micros below) {
+Micros RetrySchedule::Uniform(Micros below) {
   return below <= 1 ? 0 : std::uniform_int_distribution<Micros>(0, below - 1)(random_);
 }
 
 // Moves the present on. Bins that come into reach get their room; what lies further back than `grace` is
 // written over. Guards against a clock that jumps: at most every bin is begun anew once.
-void ReturnCalendar::Advance(Micros now) {
+void RetrySchedule::Advance(Micros now) {
   const Micros head = now - now % settings_.bin;
   if (head <= head_) return;
-  const Micros last = head + settings_.longest;
-  Micros from = head_ < 0 ? head : head_ + settings_.longest + settings_.bin;
+  const Micros last = head + settings_.max_wait;
+  Micros from = head_ < 0 ? head : head_ + settings_.max_wait + settings_.bin;
   from = std::max(from, last - settings_.bin * static_cast<Micros>(bins_.size() - 1));
   for (Micros at = from - from % settings_.bin; at <= last; at += settings_.bin) {
     At(at) = Bin{at, forecast_(at) * static_cast<double>(settings_.bin) / 1e6, 0, 0};
@@ -37,7 +37,7 @@
   ForgetBefore((now - settings_.grace) / kCell);
 }
 
-void ReturnCalendar::ForgetBefore(Micros cell) {
+void RetrySchedule::ForgetBefore(Micros cell) {
   // A clock that jumps past the whole ring meets each cell once.
   forgotten_ = std::max(forgotten_, cell - static_cast<Micros>(cells_.size()));
   for (; forgotten_ < cell; ++forgotten_) {
@@ -46,7 +46,7 @@
   }
 }
 
-void ReturnCalendar::Note(Micros at) {
+void RetrySchedule::Note(Micros at) {
   Cell& cell = CellOf(at / kCell);
   if (cell.number != at / kCell) {
     anonymous_ -= cell.many;
@@ -57,24 +57,24 @@
   last_told_ = std::max(last_told_, at);
 }
 
-Micros ReturnCalendar::AnonymousWait(Micros now) {
-  const Micros span = std::clamp(last_told_ - now, settings_.bin, settings_.longest);
+Micros RetrySchedule::AnonymousWait(Micros now) {
+  const Micros span = std::clamp(last_told_ - now, settings_.bin, settings_.max_wait);
   return settings_.bin + Uniform(span - settings_.bin + 1);
 }
 
-void ReturnCalendar::Renew(Micros now) {
+void RetrySchedule::Renew(Micros now) {
   Advance(now);
-  for (Micros at = head_; at <= head_ + settings_.longest; at += settings_.bin) {
+  for (Micros at = head_; at <= head_ + settings_.max_wait; at += settings_.bin) {
     Bin& bin = At(at);
     if (bin.begin == at) bin.room = forecast_(at) * static_cast<double>(settings_.bin) / 1e6;
   }
   full_from_ = full_to_ = 0;
 }
 
-ReturnCalendar::Booking ReturnCalendar::Book(Micros now, Micros least, double cost, bool anonymous) {
+RetrySchedule::Booking RetrySchedule::Book(Micros now, Micros least, double cost, bool anonymous) {
   Advance(now);
   const Micros soonest = now + std::max(least, settings_.bin);
-  const Micros last = head_ + settings_.longest - settings_.bin;
+  const Micros last = head_ + settings_.max_wait - settings_.bin;
   const Micros from = soonest - soonest % settings_.bin;
   Micros at = from >= full_from_ && from < full_to_ ? full_to_ : from;
   for (; at <= last; at += settings_.bin) {
@@ -99,16 +99,16 @@
   }
   if (from < full_from_ || from >= full_to_) full_from_ = from;
   full_to_ = std::max(full_to_, at);
-  const Micros told = now + settings_.longest - Uniform(std::max<Micros>(settings_.longest / 4, 1));
+  const Micros told = now + settings_.max_wait - Uniform(std::max<Micros>(settings_.max_wait / 4, 1));
   if (anonymous) Note(told);
   return {told, false};
 }
 
-Micros ReturnCalendar::EarlyBy(Micros now, Micros at) const {
+Micros RetrySchedule::EarlyBy(Micros now, Micros at) const {
   return at - now > settings_.tolerance ? at - now : 0;
 }
 
-bool ReturnCalendar::Claim(Micros now, Micros at, double cost) {
+bool RetrySchedule::Claim(Micros now, Micros at, double cost) {
   Advance(now);
   if (now - at > settings_.grace) return false;
   Bin& bin = At(at);
@@ -119,7 +119,7 @@
   return true;
 }
 
-bool ReturnCalendar::ClaimAnonymous(Micros now, double cost) {
+bool RetrySchedule::ClaimAnonymous(Micros now, double cost) {
   Advance(now);
   for (Micros number = now / kCell; number > (now - settings_.grace) / kCell; --number) {
     Cell& cell = CellOf(number);
@@ -131,10 +131,10 @@
   return false;
 }
 
-double ReturnCalendar::booked(Micros now) {
+double RetrySchedule::booked(Micros now) {
   Advance(now);
   double sum = 0;
-  for (Micros at = head_; at <= head_ + settings_.longest; at += settings_.bin) {
+  for (Micros at = head_; at <= head_ + settings_.max_wait; at += settings_.bin) {
     if (At(at).begin == at) sum += At(at).booked;
   }
   return sum;
--- a/src/limits/return_calendar.h
+++ b/src/limits/retry_schedule.h
@@ -13,8 +13,8 @@
 //
 // Memory is fixed by `longest`, `grace` and `bin`. Booking is O(1) on average: the last run of full bins is
 // passed over in one step.
-#ifndef HERONWAY_LIMITS_RETURN_CALENDAR_H_
-#define HERONWAY_LIMITS_RETURN_CALENDAR_H_
+#ifndef HERONWAY_LIMITS_RETRY_SCHEDULE_H_
+#define HERONWAY_LIMITS_RETRY_SCHEDULE_H_
 
 #include <functional>
 #include <pcg_random.hpp>
@@ -24,11 +24,11 @@
 
 namespace heronway::limits {
 
-class ReturnCalendar {
+class RetrySchedule {
  public:
   // Jobs, in units of a mean job, that returning clients may bring in a second at a time to come.
   using Forecast = std::function<double(Micros at)>;
-  ReturnCalendar(const ReturnSettings& settings, std::uint64_t seed, Forecast forecast);
+  RetrySchedule(const RetryScheduleSettings& settings, std::uint64_t seed, Forecast forecast);
 
   struct Booking {
     Micros at;
@@ -68,7 +68,7 @@
   void Note(Micros at);            // a time told to one without a name
   void ForgetBefore(Micros cell);  // cells whose grace is over
 
-  ReturnSettings settings_;
+  RetryScheduleSettings settings_;
   pcg32 random_;
   Forecast forecast_;
   std::vector<Bin> bins_;
@@ -82,4 +82,4 @@
 
 }  // namespace heronway::limits
 
-#endif  // HERONWAY_LIMITS_RETURN_CALENDAR_H_
+#endif  // HERONWAY_LIMITS_RETRY_SCHEDULE_H_
--- a/src/limits/storm_watch.cpp
+++ b/src/limits/storm_detector.cpp
@@ -1,4 +1,4 @@
-#include "src/limits/storm_watch.h"
+#include "src/limits/storm_detector.h"
 
 #include <algorithm>
 
@@ -22,7 +22,7 @@
   return kNames[static_cast<std::size_t>(signal)];
 }
 
-StormWatch::StormWatch(const WatchSettings& settings)
+StormDetector::StormDetector(const StormSettings& settings)
     : settings_(settings),
       arrived_(settings.window),
       repeats_(settings.window),
@@ -31,24 +31,24 @@
       failed_(settings.window),
       connected_(settings.window) {}
 
-void StormWatch::Arrived(Micros now, bool repeat) {
+void StormDetector::Arrived(Micros now, bool repeat) {
   arrived_.Add(now, 1);
   if (repeat) repeats_.Add(now, 1);
 }
 
-std::array<double, kSignals> StormWatch::Measure(Micros now) {
+std::array<double, kSignals> StormDetector::Measure(Micros now) {
   std::array<double, kSignals> signals{};
   const double arrivals = arrived_.Sum(now), hops = hops_.Sum(now), connects = connected_.Sum(now);
   // Guards against a verdict on a handful: two refused out of three say nothing of a storm.
-  if (arrivals >= settings_.least_arrivals) {
+  if (arrivals >= settings_.min_arrivals) {
     signals[0] = std::min(1.0, repeats_.Sum(now) / arrivals);
     signals[1] = std::min(1.0, refused_.Sum(now) / arrivals);
   }
-  if (hops >= settings_.least_arrivals) signals[2] = std::min(1.0, failed_.Sum(now) / hops);
+  if (hops >= settings_.min_arrivals) signals[2] = std::min(1.0, failed_.Sum(now) / hops);
   const double rate = connects * 1e6 / static_cast<double>(settings_.window);
   // At a start every connection is new: there is no usual rate yet.
   if (began_ < 0) began_ = now;
-  if (now - began_ > kLearnFirst && connects >= settings_.least_arrivals)
+  if (now - began_ > kLearnFirst && connects >= settings_.min_arrivals)
     signals[3] = std::clamp((rate - 2 * usual_connects_) / rate, 0.0, 1.0);
   // The usual rate is learned slowly, and not from a storm itself.
   if (state_ == StormState::kCalm) {
@@ -63,7 +63,7 @@
   return signals;
 }
 
-bool StormWatch::Step(Micros now, Change& change) {
+bool StormDetector::Step(Micros now, Change& change) {
   const auto signals = Measure(now);
   const auto top = std::max_element(signals.begin(), signals.end());
   const double pressure = *top;
--- a/src/limits/storm_watch.h
+++ b/src/limits/storm_detector.h
@@ -17,8 +17,8 @@
 //   reconnects  share by which connections come faster than their usual rate
 //   cold        share of the fleet that is missing or cold, counted only along with one of the others: a
 //               rolling restart on a quiet day is no storm
-#ifndef HERONWAY_LIMITS_STORM_WATCH_H_
-#define HERONWAY_LIMITS_STORM_WATCH_H_
+#ifndef HERONWAY_LIMITS_STORM_DETECTOR_H_
+#define HERONWAY_LIMITS_STORM_DETECTOR_H_
 
 #include <array>
 #include <cstdint>
@@ -28,14 +28,14 @@
 namespace heronway::limits {
 
 enum class StormState : std::uint8_t { kCalm, kRising, kStorm, kEasing };
-enum class Signal : std::uint8_t { kRepeats, kRefusals, kFailures, kReconnects, kCold };
+enum class Signal : std::uint8_t { kRetries, kSheds, kFailures, kReconnects, kSlowStart };
 inline constexpr std::size_t kSignals = 5;
 const char* NameOf(StormState state);
 const char* NameOf(Signal signal);
 
-class StormWatch {
+class StormDetector {
  public:
-  explicit StormWatch(const WatchSettings& settings);
+  explicit StormDetector(const StormSettings& settings);
 
   void Arrived(Micros now, bool repeat);
   void Refused(Micros now) { refused_.Add(now, 1); }
@@ -59,7 +59,7 @@
  private:
   std::array<double, kSignals> Measure(Micros now);
 
-  WatchSettings settings_;
+  StormSettings settings_;
   Window arrived_, repeats_, refused_, hops_, failed_, connected_;
   double cold_share_ = 0;
   double usual_connects_ = -1;  // a second, over a long time
@@ -72,4 +72,4 @@
 
 }  // namespace heronway::limits
 
-#endif  // HERONWAY_LIMITS_STORM_WATCH_H_
+#endif  // HERONWAY_LIMITS_STORM_DETECTOR_H_
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -57,12 +57,12 @@
 void Listener::AcceptSome() {
   bool made_room = false;
   for (int n = 0; n < kAcceptsAtOnce; ++n) {
-    if (!pacer_.Ready(loop_.Now()) || !make_room_(false)) return Rest();
+    if (!pacer_.MayAccept(loop_.Now()) || !make_room_(false)) return Rest();
     Address from{};
     socklen_t size = sizeof from;
     const int fd = accept4(fd_, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      pacer_.Took();
+      pacer_.Accepted();
       accepted_(fd, from);
     } else if (errno == EMFILE && !made_room) {
       made_room = make_room_(true);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -20,7 +20,7 @@
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
-  std::uint64_t paced() const { return pacer_.paced(); }
+  std::uint64_t paced() const { return pacer_.delayed(); }
   Address address() const;  // as bound: where port 0 was asked for, with the port it got
 
  private:
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -309,18 +309,18 @@
   list["generation"] = 3;
   list["reset"] = true;
   list["instances"].append(line);
-  const auto change = table.Take(list, core::ListKind::kChanges);
+  const auto change = table.Apply(list, core::ListKind::kChanges);
   ASSERT_TRUE(change.has_value());
   EXPECT_EQ(change->kind, core::ListKind::kWhole);
   EXPECT_EQ(change->entries[0].zone, 1);
   EXPECT_EQ(change->entries[0].started_at, 5000);
   list["generation"] = 4;
   list["instances"].append("nonsense");
-  EXPECT_FALSE(table.Take(list, core::ListKind::kChanges).has_value());
+  EXPECT_FALSE(table.Apply(list, core::ListKind::kChanges).has_value());
   EXPECT_EQ(table.generation(), 3u);
   EXPECT_TRUE(table.AnyReady());
   list["instances"] = Json::arrayValue;
-  EXPECT_TRUE(table.Take(list, core::ListKind::kChanges).has_value());
+  EXPECT_TRUE(table.Apply(list, core::ListKind::kChanges).has_value());
   EXPECT_FALSE(table.AnyReady());
 }
 
@@ -385,17 +385,17 @@
     return std::string(R"({"instanceId":")") + name + R"(","hostPort":"127.0.0.1:9","zone":"a",)" +
            R"("machineType":"m","lifecycle":")" + state + R"("})";
   };
-  ASSERT_TRUE(table.Take(config::ParseJson(R"({"generation":1,"reset":true,"instances":[)" +
-                                           line("w", "ready") + "," + line("v", "draining") + "]}"),
-                         core::ListKind::kChanges));
-  EXPECT_EQ(table.Listed(), 2u);
-  ASSERT_TRUE(table.Take(
+  ASSERT_TRUE(table.Apply(config::ParseJson(R"({"generation":1,"reset":true,"instances":[)" +
+                                            line("w", "ready") + "," + line("v", "draining") + "]}"),
+                          core::ListKind::kChanges));
+  EXPECT_EQ(table.CountListed(), 2u);
+  ASSERT_TRUE(table.Apply(
       config::ParseJson(R"({"generation":2,"reset":false,"instances":[)" + line("v", "gone") + "]}"),
       core::ListKind::kChanges));
-  EXPECT_EQ(table.Listed(), 1u);
-  ASSERT_TRUE(table.Take(config::ParseJson(R"({"generation":3,"reset":true,"instances":[]})"),
-                         core::ListKind::kChanges));
-  EXPECT_EQ(table.Listed(), 0u);
+  EXPECT_EQ(table.CountListed(), 1u);
+  ASSERT_TRUE(table.Apply(config::ParseJson(R"({"generation":3,"reset":true,"instances":[]})"),
+                          core::ListKind::kChanges));
+  EXPECT_EQ(table.CountListed(), 0u);
 }
 
 // Guards servers in slow start against wall clocks: wherever these stand, a start that is new here is no
@@ -413,20 +413,20 @@
        {-kHour, -30 * kSecond, -kSecond, 0 * kSecond, kSecond, 30 * kSecond, kHour}) {
     discovery::RouteTable table({"a"}, {"m"});
     const core::Micros started = steady - 2 * kSecond;
-    const auto heard = table.Take(list(1, started), core::ListKind::kChanges, {steady, steady + off});
+    const auto heard = table.Apply(list(1, started), core::ListKind::kChanges, {steady, steady + off});
     ASSERT_TRUE(heard);
     const core::Micros claimed = std::min(steady, started - off);
     EXPECT_EQ(heard->entries[0].claimed_started_at, claimed) << off;
     EXPECT_EQ(heard->entries[0].started_at, steady) << off;
     const auto again =
-        table.Take(list(2, started), core::ListKind::kChanges, {steady + 9 * kSecond, steady + 9 * kSecond});
+        table.Apply(list(2, started), core::ListKind::kChanges, {steady + 9 * kSecond, steady + 9 * kSecond});
     EXPECT_EQ(again->entries[0].started_at, steady) << "hearing of it again is no start";
   }
   discovery::RouteTable table({"a"}, {"m"});
   const core::Micros long_ago = steady - 3 * kHour;
-  const auto old = table.Take(list(1, long_ago), core::ListKind::kChanges, {steady, steady});
+  const auto old = table.Apply(list(1, long_ago), core::ListKind::kChanges, {steady, steady});
   EXPECT_EQ(old->entries[0].started_at, long_ago) << "no clock is wrong by so much";
-  EXPECT_EQ(table.Take(list(2, 0), core::ListKind::kChanges, {steady, steady})->entries[0].started_at, 0);
+  EXPECT_EQ(table.Apply(list(2, 0), core::ListKind::kChanges, {steady, steady})->entries[0].started_at, 0);
 }
 
 TEST(RouteTable, TellsTheGroupsOfItsTargetsAndAsksForThemAnew) {
@@ -437,11 +437,11 @@
   const auto list = config::ParseJson(
       R"({"generation":1,"reset":true,"instances":[{"instanceId":"w","hostPort":"127.0.0.1:9","zone":"b",)"
       R"("machineType":"m","lifecycle":"ready","labels":["gpu"]}]})");
-  const auto routes = table.Take(list, core::ListKind::kChanges);
+  const auto routes = table.Apply(list, core::ListKind::kChanges);
   ASSERT_TRUE(routes.has_value());
   EXPECT_EQ(routes->entries[0].groups, 9u);
   bit = 2;
-  const auto anew = table.Regroup();
+  const auto anew = table.RefreshGroups();
   ASSERT_EQ(anew.entries.size(), 1u);
   EXPECT_EQ(anew.kind, core::ListKind::kChanges);
   EXPECT_EQ(anew.entries[0].groups, 10u);
@@ -459,14 +459,14 @@
     line["startedAtMs"] = Json::Int64(started_ms);
     answer["generation"] = Json::UInt64(4);
     answer["instances"].append(line);
-    return routes.Take(answer, core::ListKind::kWhole)->entries[0].started_at;
+    return routes.Apply(answer, core::ListKind::kWhole)->entries[0].started_at;
   };
   EXPECT_EQ(list(1'000), 1'000'000);
   const core::TargetId id = *routes.IdOf("w0");
-  EXPECT_FALSE(routes.Started(id, 1'000'000));
-  EXPECT_FALSE(routes.Started(id, 500'000)) << "older: it would be warmer";
-  EXPECT_FALSE(routes.Started(id + 1, 9'000'000)) << "none that is listed";
-  const auto change = routes.Started(id, 9'000'000);
+  EXPECT_FALSE(routes.RecordRestart(id, 1'000'000));
+  EXPECT_FALSE(routes.RecordRestart(id, 500'000)) << "older: it would be warmer";
+  EXPECT_FALSE(routes.RecordRestart(id + 1, 9'000'000)) << "none that is listed";
+  const auto change = routes.RecordRestart(id, 9'000'000);
   ASSERT_TRUE(change);
   EXPECT_EQ(change->entries[0].started_at, 9'000'000);
   EXPECT_EQ(list(1'000), 9'000'000) << "a list that is behind";
--- a/tests/discovery/list_lease_test.cpp
+++ b/tests/discovery/list_lease_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kBegan = 1'000 * kSecond, kGrace = 2 * kSecond;
-constexpr Micros kGoodFor = ListLease::kCountsAsTold + kGrace - ListLease::kMargin;
+constexpr Micros kGoodFor = ListLease::kPropagationDeadline + kGrace - ListLease::kSafetyMargin;
 
 ListLease Started() { return ListLease(kBegan, kGrace); }
 ListLease Confirmed() {
@@ -31,7 +31,7 @@
   EXPECT_FALSE(lease.Valid(kBegan + kGoodFor));
   ListLease strict(kBegan, -kSecond);  // no grace at all
   strict.Confirmed(kBegan);
-  EXPECT_FALSE(strict.Valid(kBegan + ListLease::kCountsAsTold));
+  EXPECT_FALSE(strict.Valid(kBegan + ListLease::kPropagationDeadline));
 }
 
 TEST(ListLease, AnOutageOfDiscoveryKeepsTheListInForceForAsLongAsItIsSeen) {
@@ -40,9 +40,9 @@
   for (int call = 0; call < 20; ++call) {
     now += 2 * kSecond;
     lease.CallFailed(now, CallFailure::kUnreachable);
-    EXPECT_TRUE(lease.Valid(now + ListLease::kOutageSeen - 1));
+    EXPECT_TRUE(lease.Valid(now + ListLease::kOutageValidity - 1));
   }
-  EXPECT_FALSE(lease.Valid(now + ListLease::kOutageSeen));
+  EXPECT_FALSE(lease.Valid(now + ListLease::kOutageValidity));
 }
 
 // Whatever failed before or after: answers that cannot be used show that discovery can be reached.
@@ -69,24 +69,24 @@
   ListLease crowded = Started();
   crowded.CallFailed(kBegan + 2 * kSecond, CallFailure::kUnreachable);
   EXPECT_FALSE(crowded.Valid(kBegan + 2 * kSecond)) << "one call may have met a crowd";
-  crowded.CallFailed(kBegan + ListLease::kStartPatience, CallFailure::kUnreachable);
-  EXPECT_TRUE(crowded.Valid(kBegan + ListLease::kStartPatience));
+  crowded.CallFailed(kBegan + ListLease::kStartupPatience, CallFailure::kUnreachable);
+  EXPECT_TRUE(crowded.Valid(kBegan + ListLease::kStartupPatience));
 
   ListLease refused = Started();
-  for (int call = 1; call <= ListLease::kRefusalsAtStart; ++call) {
+  for (int call = 1; call <= ListLease::kRefusalsAtStartup; ++call) {
     EXPECT_FALSE(refused.Valid(kBegan + call));
     refused.CallFailed(kBegan + call, CallFailure::kRefused);
   }
-  EXPECT_TRUE(refused.Valid(kBegan + ListLease::kRefusalsAtStart));
+  EXPECT_TRUE(refused.Valid(kBegan + ListLease::kRefusalsAtStartup));
   refused.CallFailed(kBegan + kSecond, CallFailure::kUnusable);
   EXPECT_FALSE(refused.Valid(kBegan + kSecond)) << "discovery can be reached after all";
 }
 
 TEST(ListLease, RefusalsThatOtherFailuresPartAreNoneInARow) {
   ListLease lease = Started();
-  for (int call = 1; call <= 2 * ListLease::kRefusalsAtStart; ++call)
+  for (int call = 1; call <= 2 * ListLease::kRefusalsAtStartup; ++call)
     lease.CallFailed(kBegan + call, call % 2 == 0 ? CallFailure::kUnreachable : CallFailure::kRefused);
-  EXPECT_FALSE(lease.Valid(kBegan + 2 * ListLease::kRefusalsAtStart));
+  EXPECT_FALSE(lease.Valid(kBegan + 2 * ListLease::kRefusalsAtStartup));
 }
 
 }  // namespace
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -71,24 +71,24 @@
 
 // ---- storm watch
 struct Watched {
-  explicit Watched(WatchSettings s = {}) : watch(s) {}
+  explicit Watched(StormSettings s = {}) : watch(s) {}
   // A second of arrivals, `repeats` and `refused` of a hundred.
   void Second(int repeats, int refused) {
     for (int i = 0; i < 100; ++i) {
       now += 10 * kMs;
       watch.Arrived(now, i < repeats);
       if (i < refused) watch.Refused(now);
-      StormWatch::Change change;
+      StormDetector::Change change;
       if (watch.Step(now, change)) changes.push_back(change);
     }
   }
   Micros now = kStart;
-  StormWatch watch;
-  std::vector<StormWatch::Change> changes;
+  StormDetector watch;
+  std::vector<StormDetector::Change> changes;
   std::vector<Micros> at;
 };
 
-TEST(StormWatch, RisesStormsEasesAndCalmsOnceEachWithReasons) {
+TEST(StormDetector, RisesStormsEasesAndCalmsOnceEachWithReasons) {
   Watched w;
   for (int i = 0; i < 5; ++i) w.Second(1, 0);
   EXPECT_TRUE(w.changes.empty());
@@ -97,27 +97,27 @@
   for (int i = 0; i < 12; ++i) w.Second(0, 0);
   ASSERT_EQ(w.changes.size(), 4u);
   EXPECT_EQ(w.changes[0].to, StormState::kRising);
-  EXPECT_EQ(w.changes[0].reason, Signal::kRepeats);
+  EXPECT_EQ(w.changes[0].reason, Signal::kRetries);
   EXPECT_EQ(w.changes[2].to, StormState::kEasing);
   EXPECT_EQ(w.watch.state(), StormState::kCalm);
   EXPECT_EQ(w.watch.storms(), 1u);
 }
 
-TEST(StormWatch, DoesNotFlapAtALevelThatIsCrossedEverySecond) {
+TEST(StormDetector, DoesNotFlapAtALevelThatIsCrossedEverySecond) {
   Watched w;
   for (int i = 0; i < 40; ++i) w.Second(i % 2 == 0 ? 45 : 28, 0);  // about the storm level
   EXPECT_LE(w.changes.size(), 3u);
 }
 
 // Both ways a level must hold: a moment's peak is no storm, and a moment's quiet is not its end.
-TEST(StormWatch, ALevelIsBelievedOnceItHeldAndLeftOnceItWasQuiet) {
+TEST(StormDetector, ALevelIsBelievedOnceItHeldAndLeftOnceItWasQuiet) {
   Watched w({500 * kMs});
   const auto feed = [&w](Micros time, int repeats) {  // of a hundred, evenly
     for (const Micros end = w.now + time; w.now < end;) {
       w.now += 10 * kMs;
       const auto n = w.now / (10 * kMs);
       w.watch.Arrived(w.now, n * repeats / 100 != (n - 1) * repeats / 100);
-      StormWatch::Change change;
+      StormDetector::Change change;
       if (!w.watch.Step(w.now, change)) continue;
       w.changes.push_back(change);
       w.at.push_back(w.now);
@@ -141,14 +141,14 @@
   EXPECT_EQ(w.watch.storms(), 1u);  // the same one
 }
 
-TEST(StormWatch, ARollingRestartOnAQuietDayIsNoStorm) {
+TEST(StormDetector, ARollingRestartOnAQuietDayIsNoStorm) {
   Watched w;
   w.watch.FleetIs(0.5);
   for (int i = 0; i < 10; ++i) w.Second(1, 0);
   EXPECT_EQ(w.watch.state(), StormState::kCalm);
 }
 
-TEST(StormWatch, AClockStepBetweenArrivalsEmptiesTheWindowOnly) {
+TEST(StormDetector, AClockStepBetweenArrivalsEmptiesTheWindowOnly) {
   Watched w;
   for (int i = 0; i < 3; ++i) w.Second(90, 50);
   EXPECT_EQ(w.watch.state(), StormState::kStorm);
@@ -158,9 +158,9 @@
 }
 
 // ---- repeats
-TEST(RepeatBudget, FurtherHopsStayAShareOfFirstOnesAndLessInAStorm) {
+TEST(RetryBudget, FurtherHopsStayAShareOfFirstOnesAndLessInAStorm) {
   for (const bool storm : {false, true}) {
-    RepeatBudget budget({0.2, 0.1, 0, 0, 10 * kS}, 1, -1);
+    RetryBudget budget({0.2, 0.1, 0, 0, 10 * kS}, 1, -1);
     int further = 0;
     Micros now = kStart;
     for (int i = 0; i < 10'000; ++i) {
@@ -174,8 +174,8 @@
   }
 }
 
-TEST(RepeatBudget, TheReservedClassStillRepeatsWhenTheOthersHaveSpentAll) {
-  RepeatBudget budget({0.2, 0.1, 0, 0.25, 10 * kS}, 2, 1);
+TEST(RetryBudget, TheReservedClassStillRepeatsWhenTheOthersHaveSpentAll) {
+  RetryBudget budget({0.2, 0.1, 0, 0.25, 10 * kS}, 2, 1);
   Micros now = kStart;
   int mine = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -191,8 +191,8 @@
   EXPECT_NEAR(mine, 50, 6);  // a quarter of the deposits of a thousand first hops at a fifth each
 }
 
-TEST(RepeatBudget, AStormInOneClassLeavesTheOthersTheirs) {
-  RepeatBudget budget({0.2, 0.1, 0, 0, 10 * kS}, 2, -1);
+TEST(RetryBudget, AStormInOneClassLeavesTheOthersTheirs) {
+  RetryBudget budget({0.2, 0.1, 0, 0, 10 * kS}, 2, -1);
   Micros now = kStart;
   int other = 0;
   for (int i = 0; i < 4000; ++i) {
@@ -208,8 +208,8 @@
 }
 
 // ---- intake
-TEST(IntakeLimit, ShrinksWhenHopsTakeLongerAndGrowsBack) {
-  IntakeLimit intake({0.6, 1.5, 4, kS}, 1);
+TEST(ConcurrencyLimit, ShrinksWhenHopsTakeLongerAndGrowsBack) {
+  ConcurrencyLimit intake({0.6, 1.5, 4, kS}, 1);
   Micros now = kStart;
   const auto play = [&](int n, Micros time) {
     for (int i = 0; i < n; ++i) intake.Finished(now += 5 * kMs, 0, time, intake.MostOut(), 10, true);
@@ -223,8 +223,8 @@
   EXPECT_GT(intake.MostOut(), open / 2);
 }
 
-TEST(IntakeLimit, ADeadQuarterLowersTheRateOfStartsAtOnce) {
-  IntakeLimit intake({0.6, 1.5, 4, kS}, 1);
+TEST(ConcurrencyLimit, ADeadQuarterLowersTheRateOfStartsAtOnce) {
+  ConcurrencyLimit intake({0.6, 1.5, 4, kS}, 1);
   Micros now = kStart;
   for (int i = 0; i < 1000; ++i) intake.Finished(now += 10 * kMs, 0, 200 * kMs, 10, 12, true);
   EXPECT_NEAR(intake.StartsPerSecond(now, 12), 100, 5);
@@ -233,8 +233,8 @@
 }
 
 // ---- the fleet
-TEST(FleetRamp, ColdWorkersAreTheRampThatTheyAre) {
-  FleetRamp fleet(0.3, 10 * kS);
+TEST(FleetCapacity, ColdWorkersAreTheRampThatTheyAre) {
+  FleetCapacity fleet(0.3, 10 * kS);
   std::vector<pebblenotch::WorkerEntry> four(4);
   for (std::size_t i = 0; i < 4; ++i) four[i].id = i + 1;
   fleet.Take(kStart, four, true);
@@ -255,10 +255,10 @@
 struct Calendar {
   explicit Calendar(double per_s) : rate(per_s), book({}, 5, [this](Micros) { return rate; }) {}
   double rate;
-  ReturnCalendar book;
+  RetrySchedule book;
 };
 
-TEST(ReturnCalendar, ACrowdIsSpreadAtTheRateThatTheFleetCarries) {
+TEST(RetrySchedule, ACrowdIsSpreadAtTheRateThatTheFleetCarries) {
   Calendar c(50);
   std::vector<int> by_second(11);
   for (int i = 0; i < 300; ++i) {
@@ -269,7 +269,7 @@
   for (int s = 1; s < 5; ++s) EXPECT_NEAR(by_second[static_cast<std::size_t>(s)], 50, 6) << s;
 }
 
-TEST(ReturnCalendar, AFullCalendarSaysSoAndNoWaitIsOverTheLongest) {
+TEST(RetrySchedule, AFullCalendarSaysSoAndNoWaitIsOverTheLongest) {
   Calendar c(5);
   int booked = 0;
   for (int i = 0; i < 500; ++i) {
@@ -280,7 +280,7 @@
   EXPECT_NEAR(booked, 50, 15);
 }
 
-TEST(ReturnCalendar, WhenTheFleetDiesAgainOnlyWhatItCarriesGoesFirst) {
+TEST(RetrySchedule, WhenTheFleetDiesAgainOnlyWhatItCarriesGoesFirst) {
   Calendar c(100);
   std::vector<Micros> slots;
   for (int i = 0; i < 400; ++i) slots.push_back(c.book.Book(kStart, 0, 1, false).at);
@@ -293,7 +293,7 @@
   EXPECT_GE(first, 60);
 }
 
-TEST(ReturnCalendar, EarlyAndLateAreToldApart) {
+TEST(RetrySchedule, EarlyAndLateAreToldApart) {
   Calendar c(100);
   const auto b = c.book.Book(kStart, kS, 1, false);
   EXPECT_GT(c.book.EarlyBy(kStart, b.at), 900 * kMs);
@@ -303,7 +303,7 @@
   EXPECT_FALSE(c.book.Claim(b.at + 2 * kS, b.at, 1));
 }
 
-TEST(ReturnCalendar, OneThatCannotBeNamedTakesUpABookingAndNoMoreThanWereMade) {
+TEST(RetrySchedule, OneThatCannotBeNamedTakesUpABookingAndNoMoreThanWereMade) {
   Calendar c(100);
   const auto b = c.book.Book(kStart, kS, 1, true);
   EXPECT_FALSE(c.book.ClaimAnonymous(kStart, 1));
@@ -312,7 +312,7 @@
 }
 
 // Who comes by chance must not take the turn of one that comes at its time: the newest time that is due goes.
-TEST(ReturnCalendar, OneWithoutANameAtItsTimeFindsItsOwnWhateverOthersLeft) {
+TEST(RetrySchedule, OneWithoutANameAtItsTimeFindsItsOwnWhateverOthersLeft) {
   Calendar c(100);
   const auto left = c.book.Book(kStart, kS, 1, true);
   const auto own = c.book.Book(kStart, 2 * kS, 1, true);
@@ -337,13 +337,13 @@
   AcceptPacer pacer({100, 10});
   int accepted = 0;
   for (Micros now = kStart; now < kStart + kS; now += kMs) {
-    while (pacer.Ready(now)) {
-      pacer.Took();
+    while (pacer.MayAccept(now)) {
+      pacer.Accepted();
       ++accepted;
     }
   }
   EXPECT_NEAR(accepted, 110, 2);
-  EXPECT_GT(pacer.paced(), 0u);
+  EXPECT_GT(pacer.delayed(), 0u);
 }
 
 // ---- all together
@@ -373,8 +373,8 @@
     for (int i = 0; i < 300; ++i) {
       now += 10 * kMs;
       const auto came = limits.Arrived(now, 0, 0, true, true);
-      limits.Due(now);
-      limits.Refused(now, 0, 0, 500 * kMs, came);
+      limits.Update(now);
+      limits.RequestShed(now, 0, 0, 500 * kMs, came);
     }
   }
   Micros now = kStart;
@@ -388,26 +388,26 @@
   const auto client = w.limits.HashOf("k", 0);
   auto came = w.limits.Arrived(w.now, 0, client, false, true);
   EXPECT_EQ(came.return_timing, ReturnTiming::kNew);
-  const Micros wait = w.limits.Refused(w.now, 0, client, 500 * kMs, came);
+  const Micros wait = w.limits.RequestShed(w.now, 0, client, 500 * kMs, came);
   const Micros at = w.now + wait;
   for (int i = 0; i < 5; ++i) {
     w.now += 10 * kMs;
     came = w.limits.Arrived(w.now, 0, client, false, true);
     EXPECT_EQ(came.return_timing, ReturnTiming::kEarly);
-    EXPECT_NEAR(static_cast<double>(w.now + w.limits.Refused(w.now, 0, client, 0, came)),
+    EXPECT_NEAR(static_cast<double>(w.now + w.limits.RequestShed(w.now, 0, client, 0, came)),
                 static_cast<double>(at), 1500);
   }
   w.now = at;
   came = w.limits.Arrived(w.now, 0, client, false, true);
   EXPECT_EQ(came.return_timing, ReturnTiming::kDue);
-  EXPECT_TRUE(came.repeat);
+  EXPECT_TRUE(came.is_retry);
 }
 
 TEST(Limits, AnObjectThatManyAskForIsNoRepeat) {
   Whole w;
   const auto object = w.limits.HashOf("album", 0);
   w.limits.Arrived(w.now, 0, object, false, false);
-  EXPECT_FALSE(w.limits.Arrived(w.now, 0, object, false, false).repeat);
+  EXPECT_FALSE(w.limits.Arrived(w.now, 0, object, false, false).is_retry);
 }
 
 TEST(Limits, AStormInOneClassIsToldOfThatClass) {
@@ -416,8 +416,8 @@
     w.now += kMs;
     const int job_class = i % 10 == 0 ? 1 : 0;
     const auto came = w.limits.Arrived(w.now, job_class, 0, false, true);
-    w.limits.Due(w.now);
-    if (job_class == 1 && i % 100 != 0) w.limits.Refused(w.now, 1, 0, 0, came);
+    w.limits.Update(w.now);
+    if (job_class == 1 && i % 100 != 0) w.limits.RequestShed(w.now, 1, 0, 0, came);
   }
   bool one = false, all = false;
   while (const auto change = w.limits.NextChange(w.now)) {
@@ -435,7 +435,7 @@
     std::vector<Micros> waits;
     for (int i = 0; i < 50; ++i) {
       const auto c = w.limits.HashOf(std::to_string(i), 0);
-      waits.push_back(w.limits.Refused(w.now, 0, c, 0, w.limits.Arrived(w.now, 0, c, false, true)));
+      waits.push_back(w.limits.RequestShed(w.now, 0, c, 0, w.limits.Arrived(w.now, 0, c, false, true)));
     }
     return waits;
   };
--- a/tests/storm_test.cpp
+++ b/tests/storm_test.cpp
@@ -56,7 +56,7 @@
     return static_cast<double>(on.turned_served[kind]) / static_cast<double>(on.turned[kind]);
   };
   EXPECT_GT(share(1), share(0));
-  EXPECT_GT(on.limits.early, 100u);
+  EXPECT_GT(on.limits.early_retries, 100u);
 }
 
 TEST(Storm, NorDoesHammeringPayForClientsWithoutAName) {
