--- a/src/cluster/copies/reconfiguration.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -131,7 +131,7 @@
       // The log keeps growing; compaction is tried again when it has grown by the same amount.
       compact_failed_.store(true);
     }
-    work_done_wakeup_.Ask();
+    work_done_wakeup_.Notify();
   });
 }
 
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -72,7 +72,7 @@
   };
 
   // Throws durable::StoreError and std::runtime_error as ReplicaStore and Links do.
-  ReplicaManager(net::Shared& shared, const Settings& settings);
+  ReplicaManager(net::StreamContext& shared, const Settings& settings);
   ~ReplicaManager();
   ReplicaManager(const ReplicaManager&) = delete;
   ReplicaManager& operator=(const ReplicaManager&) = delete;
@@ -141,7 +141,7 @@
   void OnReply(const std::string& from, const Frame& f);
   log::ServerId NewServerId();
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Settings settings_;
   Micros boot_time_, started_at_;
   std::function<std::vector<KnownMember>()> member_source_;
