--- a/src/cluster/copies/commands.cpp
+++ b/src/cluster/copies/commands.cpp
@@ -77,8 +77,8 @@
     if (!contents) throw std::runtime_error(group + ": the snapshot is corrupt; use another copy");
     durable::SqliteStore store(
         {to, contents->classes, std::vector<durable::ClassRules>(contents->classes.size()), 0},
-        durable::SqliteStore::Use::kServe);
-    store.Refill(contents->clock_broke, contents->jobs, {});
+        durable::SqliteStore::Mode::kServe);
+    store.ReplaceContents(contents->clock_stepped_at, contents->jobs, {});
     durable::Applied applied = contents->applied;
     std::size_t batches = 0;
     for (const log::EntryPtr& e : g.log.entries) {
@@ -87,7 +87,7 @@
       const auto records = batch ? durable::DecodeRecords(batch->records) : std::nullopt;
       if (!records) throw std::runtime_error(group + ": an entry is corrupt; use another copy");
       if (!IsEffective(*batch, applied)) continue;  // a duplicate, or of an epoch that is over
-      applied.life = batch->epoch;
+      applied.epoch = batch->epoch;
       applied.number = batch->number;
       store.Append(*records);
       ++batches;
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -26,7 +26,7 @@
 #include "src/core/invariants.h"
 #include "src/core/stop_times.h"
 #include "src/core/tenants.h"
-#include "src/durable/keeper.h"
+#include "src/durable/job_manager.h"
 #include "src/limits/limits.h"
 
 namespace heronway::core {
@@ -40,16 +40,16 @@
 
 // Events.
 struct RequestArrived {
-  pebblenotch::Request request;       // `id` is the ticket, `deadline` the time at which the client gives up
-  std::string id;                     // its name on the wire, unique among pending requests
-  Micros hop_timeout = 0;             // for each hop; 0: until the client's deadline
-  int max_hops = 0;                   // the client's own limit; 0: only the configured limit applies
-  std::string client;                 // identity by which retries are recognized; empty: none
-  bool client_names_job = true;       // `client` identifies the job, so seeing it again is a retry
-  std::string tenant;                 // for the counts per tenant; empty: not counted
-  std::optional<durable::Task> task;  // durable job: accepted with this, and its first round starts
-  bool round = false;                 // another round of a durable job; no client waits
-  bool no_capacity = false;           // the front cannot hold it: shed at once, with a retry delay
+  pebblenotch::Request request;  // `id` is the ticket, `deadline` the time at which the client gives up
+  std::string id;                // its name on the wire, unique among pending requests
+  Micros hop_timeout = 0;        // for each hop; 0: until the client's deadline
+  int max_hops = 0;              // the client's own limit; 0: only the configured limit applies
+  std::string client;            // identity by which retries are recognized; empty: none
+  bool client_names_job = true;  // `client` identifies the job, so seeing it again is a retry
+  std::string tenant;            // for the counts per tenant; empty: not counted
+  std::optional<durable::JobSpec> task;  // durable job: accepted with this, and its first round starts
+  bool round = false;                    // another round of a durable job; no client waits
+  bool no_capacity = false;              // the front cannot hold it: shed at once, with a retry delay
 };
 enum class CallbackState : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
 struct HopCallback {  // a target's report on a request, by wire names
@@ -102,7 +102,7 @@
 // The following concern durable jobs. A job keeps its id throughout; a ticket stands for one of its rounds.
 struct JobSubmitted {  // accepted without a client that waits for the outcome
   std::string id;
-  durable::Task task;
+  durable::JobSpec task;
 };
 struct RoundInvalid {  // the front cannot build a request from the job any more
   std::string id;
@@ -111,7 +111,7 @@
   TargetId target = 0;
 };
 struct OperatorOrder {  // from an operator's tool
-  durable::Order order;
+  durable::OperatorCommand order;
 };
 struct StoreLoaded {};  // recovery from the store is complete; the first event
 struct Cordon {         // an operator's drain (`on`) or its end; affects readiness only
@@ -130,18 +130,18 @@
   Report report;
   Micros age = 0;
 };
-// Durable jobs of another scheduler, or of an earlier process of this one (homes: see durable::Keeper).
-struct JobsAdopted {  // a batch of them; `first`: the first batch of this home
-  int home = 0;
+// Durable jobs of another scheduler, or of an earlier process of this one (see durable::JobManager for store ids).
+struct JobsAdopted {  // a batch of them; `first`: the first batch of this store
+  int store_id = 0;
   bool first = false;
-  durable::Micros clock_broke = 0;  // runs up to then were timed by another host's clock
+  durable::Micros clock_stepped_at = 0;  // runs up to then were timed by another host's clock
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
 struct HomeClosing {  // its jobs will be handed back: none starts another round
-  int home = 0;
+  int store_id = 0;
 };
 struct HomeLost {  // its jobs belong to another scheduler: none is answered from here any more
-  int home = 0;
+  int store_id = 0;
 };
 using Event =
     std::variant<RequestArrived, HopCallback, HopAccepted, HopEnded, HopCancelled, ProbeEnded,
@@ -158,7 +158,7 @@
   // left when it leaves.
   Micros until;
   bool durable = false;  // here and below: wait until all records so far are stored
-  int home = 0;          // the home whose store is waited for
+  int store_id = 0;      // the store that is waited for
 };
 struct CancelHop {  // the front answers with one HopCancelled
   Ticket request;
@@ -166,7 +166,7 @@
   TargetId target;
   std::string id;
   bool durable = false;
-  int home = 0;
+  int store_id = 0;
 };
 struct HopCompleted {  // by its target's callback: the transport need not wait for a response
   Ticket request;
@@ -180,7 +180,7 @@
   std::string result;  // if served; passed through unchanged
   bool durable = false;
   Micros by = 0;  // durable: the time by which the client must have it
-  int home = 0;
+  int store_id = 0;
 };
 struct StartProbe {
   TargetId target;
@@ -195,15 +195,15 @@
 };
 struct Persist {  // to be stored in this order
   std::vector<durable::Record> records;
-  int home = 0;
+  int store_id = 0;
 };
 struct StartRound {  // a round of this job is due: the front makes an RequestArrived of it, or a RoundInvalid
   std::string id;
-  int home = 0;
+  int store_id = 0;
 };
 struct Settled {  // the job has its answer or was discarded; waiting clients are notified
   std::string id;
-  int home = 0;
+  int store_id = 0;
 };
 using Effect = std::variant<SendHop, CancelHop, HopCompleted, Answer, StartProbe, SubscribeRoutes, WakeAt,
                             Drained, StormChanged, Persist, StartRound, Settled>;
@@ -224,9 +224,9 @@
  public:
   // `take_limit`: a hop that its target has not confirmed in any way is cancelled after this long; 0: never.
   // `limits`: if enabled, their figures guide the module, and shed clients get times of their calendar.
-  // `keeper`: manages durable jobs, restored from the store; null if durable jobs are off.
+  // `job_manager`: manages durable jobs, restored from the store; null if durable jobs are off.
   Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit = 0,
-          const limits::Settings& limits = {}, std::unique_ptr<durable::Keeper> keeper = nullptr);
+          const limits::Settings& limits = {}, std::unique_ptr<durable::JobManager> job_manager = nullptr);
 
   // Processes one event and appends the resulting effects.
   void Reduce(Micros now, Event event, std::vector<Effect>& effects);
@@ -253,8 +253,10 @@
   const FleetView& fleet() const { return fleet_; }
   const pebblenotch::Dispatcher& module() const { return module_; }  // for inspection
   const TenantTable& tenants() const { return tenants_; }
-  const durable::Keeper* keeper() const { return keeper_.get(); }  // null if durable jobs are off
-  const limits::Limits* limits() const { return limits_.get(); }   // null if disabled
+  const durable::JobManager* job_manager() const {
+    return job_manager_.get();
+  }                                                               // null if durable jobs are off
+  const limits::Limits* limits() const { return limits_.get(); }  // null if disabled
 
   // Subtracted from the client's deadline, for the network and for a busy CPU.
   static constexpr Micros kAnswerMargin = 30'000;
@@ -290,7 +292,7 @@
     bool answered = false;
     bool away = false;                    // the client is detached
     bool durable = false, round = false;  // `round`: no client waits
-    int home = 0;                         // durable
+    int store_id = 0;                     // durable
     std::vector<Hop> hops;
   };
   struct Due {
@@ -354,10 +356,10 @@
   StopTimes stop_times_;
   pebblenotch::Dispatcher module_;
   std::unique_ptr<limits::Limits> limits_;
-  std::unique_ptr<durable::Keeper> keeper_;
-  durable::Records records_;                                        // not passed to Persist yet
-  std::unordered_map<TargetId, durable::Holder> target_locations_;  // durable: zone and cell of targets
-  Micros keeper_wake_ = 0;
+  std::unique_ptr<durable::JobManager> job_manager_;
+  durable::Records records_;                                             // not passed to Persist yet
+  std::unordered_map<TargetId, durable::LeaseHolder> target_locations_;  // durable: zone and cell of targets
+  Micros job_manager_wakeup_ = 0;
   Micros now_ = 0, take_limit_;
   std::vector<Effect>* effects_ = nullptr;
   std::deque<pebblenotch::Action> actions_;
--- a/src/fronts/log_reports.cpp
+++ b/src/fronts/log_reports.cpp
@@ -38,7 +38,7 @@
               {"arrivals_per_s", c.arrivals_per_s},
               {"missing_share", change.missing_share},
               {"starts_per_s", change.starts_per_s},
-              {"booked", change.booked}});
+              {"booked", change.scheduled_retries}});
 }
 
 void LogRuleHits(const match::Service* rules) {
@@ -119,49 +119,50 @@
              {{"front", front, true},
               {"limits", limits::NameOf(limits->state())},
               {"storms", l.storms},
-              {"repeats", l.repeats},
-              {"due", l.due},
-              {"early", l.early},
-              {"overbooked", l.overbooked},
-              {"booked", l.booked},
-              {"unbooked", l.unbooked},
+              {"repeats", l.retries},
+              {"due", l.on_time_retries},
+              {"early", l.early_retries},
+              {"overbooked", l.oversubscribed_retries},
+              {"booked", l.scheduled_sheds},
+              {"unbooked", l.unscheduled_sheds},
               {"first_hops", l.first_hops},
               {"further_hops", l.further_hops},
-              {"budget_spent", l.budget_spent}});
+              {"budget_spent", l.budget_exhausted}});
 }
 
 void LogDurableCounters(std::string_view front, const net::Driver& driver) {
-  const durable::Keeper* keeper = driver.reducer().keeper();
-  if (keeper == nullptr) return;
-  using Place = durable::JobBook::Place;
-  const auto& k = keeper->counters();
+  const durable::JobManager* job_manager = driver.reducer().job_manager();
+  if (job_manager == nullptr) return;
+  using Status = durable::JobTable::Status;
+  const auto& k = job_manager->counters();
   log::Event(log::Level::kInfo, "durable",
              {{"front", front, true},
-              {"taken", k.taken},
+              {"taken", k.accepted},
               {"done", k.done},
               {"failed", k.failed},
               {"retries", k.retries},
-              {"lapsed", k.lapsed},
-              {"late", k.late},
-              {"vetoed", k.vetoed},
-              {"rounds", k.rounds},
-              {"waiting", keeper->book().Count(Place::kWaiting) + keeper->book().Count(Place::kRetrying)},
-              {"held", keeper->book().Count(Place::kHeld)},
-              {"in_hand", keeper->in_hand()},
-              {"window", keeper->window()}});
-  if (driver.gate() == nullptr) return;  // another looks after these jobs now
-  const auto w = driver.gate()->writer().counts();
+              {"lapsed", k.expired},
+              {"late", k.stale},
+              {"vetoed", k.leases_denied},
+              {"rounds", k.dispatches},
+              {"waiting",
+               job_manager->table().Count(Status::kWaiting) + job_manager->table().Count(Status::kRetrying)},
+              {"held", job_manager->table().Count(Status::kLeased)},
+              {"in_hand", job_manager->active()},
+              {"window", job_manager->window()}});
+  if (driver.barrier() == nullptr) return;  // another looks after these jobs now
+  const auto w = driver.barrier()->writer().counts();
   log::Event(log::Level::kInfo, "store",
              {{"front", front, true},
-              {"records", driver.gate()->writer().stored()},
-              {"unstored", driver.gate()->writer().handed() - driver.gate()->writer().stored()},
+              {"records", driver.barrier()->writer().stored()},
+              {"unstored", driver.barrier()->writer().enqueued() - driver.barrier()->writer().stored()},
               {"commits", w.commits},
-              {"longest_commit_us", w.longest_us},
-              {"longest_wait_us", driver.gate()->longest()},
-              {"folds", w.folds},
-              {"faults", w.faults},
-              {"fold_faults", w.fold_faults},
-              {"answered_unstored", driver.gate()->unstored()}});
+              {"longest_commit_us", w.longest_commit_us},
+              {"longest_wait_us", driver.barrier()->longest_block()},
+              {"folds", w.compactions},
+              {"faults", w.write_errors},
+              {"fold_faults", w.compaction_errors},
+              {"answered_unstored", driver.barrier()->released_unstored()}});
 }
 
 }  // namespace heronway
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -58,12 +58,12 @@
 void Listener::AcceptPending() {
   bool freed_descriptor = false;
   for (int n = 0; n < kMaxAcceptsPerIteration; ++n) {
-    if (!pacer_.Ready(loop_.Now()) || !reserve_descriptor_(false)) return Pause();
+    if (!pacer_.MayAccept(loop_.Now()) || !reserve_descriptor_(false)) return Pause();
     Address from{};
     socklen_t size = sizeof from;
     const int fd = accept4(fd_, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      pacer_.Took();
+      pacer_.Accepted();
       on_accept_(fd, from);
     } else if (errno == EMFILE && !freed_descriptor) {
       freed_descriptor = reserve_descriptor_(true);
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -23,7 +23,7 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   // Number of times the rate limit has delayed an accept.
-  std::uint64_t paced() const { return pacer_.paced(); }
+  std::uint64_t paced() const { return pacer_.delayed(); }
   Address address() const;  // the bound address, with the assigned port where port 0 was requested
 
  private:
