--- a/src/fronts/http/budget.h
+++ b/src/fronts/http/budget.h
@@ -1,4 +1,5 @@
-// What the HTTP front may hold: descriptors and memory, all worked out from the configured limits. Pure.
+// Descriptor and memory limits of the HTTP front, computed from the configured limits of the process. Pure
+// functions.
 #ifndef HERONWAY_FRONTS_HTTP_BUDGET_H_
 #define HERONWAY_FRONTS_HTTP_BUDGET_H_
 
@@ -10,30 +11,31 @@
 namespace heronway::http {
 
 struct Budget {
-  // For the program itself: standard streams, the loop, the listener, discovery, and a few to spare.
+  // Reserved for the program itself: standard streams, event loop, listener, discovery and a small margin.
   static constexpr std::size_t kOwnDescriptors = 16;
   static constexpr std::size_t kMinEgress = 8;
   static constexpr std::size_t kMinSpare = 4;
-  // Of what other parts do not use, never lent: they may take so many before egress has given them back.
+  // Unused descriptors of other parts that egress never borrows: these parts may need that many before egress
+  // has closed its borrowed connections.
   static constexpr std::size_t kLendingReserve = 49;
 
-  // Limits: `sockets` descriptors and `memory` bytes of the whole process, of which `others` descriptors
-  // belong to its other parts (second front, console, cluster, copies). Throws std::runtime_error where
-  // these leave too few to serve anybody.
+  // Divides the limits of the process: `sockets` descriptors, of which `others` belong to other parts of the
+  // program (second front, console, cluster, copies), and `memory` bytes. Throws std::runtime_error if too
+  // few descriptors remain to serve a request.
   static Budget From(std::size_t sockets, std::size_t memory, std::size_t others) {
     const std::size_t least = kOwnDescriptors + others + kMinEgress + kMinSpare + 1;
     if (sockets < least)
       throw std::runtime_error("limits.sockets: " + std::to_string(sockets) +
                                " are too few for the parts that are on: they need " + std::to_string(least));
     const std::size_t left = sockets - kOwnDescriptors - others;
-    const std::size_t third = (sockets + 2) / 3;  // requests may have so many, where they are there
+    const std::size_t third = (sockets + 2) / 3;  // guaranteed to requests where available
     const std::size_t spare = std::max(kMinSpare, std::min(left, third) / 8);
     Budget b;
     b.egress = std::min(sockets / 4, std::max(kMinEgress, left - std::min(left, third + spare)));
     b.egress_borrowable = sockets / 4 - b.egress;
     b.ingress = left - b.egress;
-    // Requests never have all of ingress. Who can only be refused, and a target that calls back, must be
-    // accepted and read however long the requests wait, or it gets no answer at all.
+    // Requests never take all ingress connections: clients that will be shed and targets that send callbacks
+    // must still be accepted and read while requests wait, or they would get no answer at all.
     b.requests =
         std::min(std::max(b.ingress - b.ingress / 4, third), b.ingress - std::min(spare, b.ingress - 1));
     b.in_service = std::max(b.requests, b.ingress - std::min(kMinSpare, b.ingress - 1));
@@ -42,18 +44,19 @@
     return b;
   }
 
-  // What egress may have beyond its own while other parts leave `unused` of their descriptors.
+  // Descriptors that egress may borrow while other parts of the program leave `unused` of theirs.
   std::size_t BorrowableByEgress(std::size_t unused) const {
     return std::min(egress_borrowable, unused - std::min(unused, kLendingReserve));
   }
 
-  std::size_t egress = 0;             // descriptors that are its own
-  std::size_t egress_borrowable = 0;  // and that it may have of other parts' at most
+  std::size_t egress = 0;             // descriptors owned by egress
+  std::size_t egress_borrowable = 0;  // upper bound of descriptors borrowed from other parts
   std::size_t ingress = 0;            // descriptors
-  std::size_t requests = 0;           // of ingress: clients whose answer is awaited
-  std::size_t in_service = 0;  // of ingress: those, and call-backs that wait for a store or another scheduler
-  std::size_t held_bytes = 0;  // of requests that are held
-  std::size_t incoming_bytes = 0;
+  std::size_t requests = 0;           // part of ingress: clients with an unanswered request
+  // Part of ingress: `requests`, plus callbacks that wait for the store or for another scheduler.
+  std::size_t in_service = 0;
+  std::size_t held_bytes = 0;      // bytes of held requests
+  std::size_t incoming_bytes = 0;  // bytes of messages that are not yet complete
 };
 
 }  // namespace heronway::http
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -1,5 +1,6 @@
-// The HTTP front with durable jobs: a request with an Idempotency-Key is stored before its first hop. Whoever
-// comes by the same key joins the job, or gets the kept answer; a job outlives its client and this program.
+// Durable jobs in the HTTP front: a request with an Idempotency-Key is stored before its first hop. Later
+// requests with the same key join the job or receive its stored answer. A job continues without its client
+// and survives a restart of the program.
 #include <algorithm>
 #include <utility>
 
@@ -10,17 +11,19 @@
 namespace heronway::http {
 namespace {
 
-constexpr Micros kLookUpTime = 600'000;   // less than any process has to stop
-constexpr Micros kComeAgain = 1'000'000;  // what a joined client is told whose time is over before its job is
+constexpr Micros kLookupTimeout = 600'000;  // shorter than any shutdown grace period
+constexpr Micros kRetryAfter =
+    1'000'000;  // Retry-After for a client whose deadline expires before its job ends.
 
 }  // namespace
 
-std::string Front::AliasOf(const std::string& class_name, const std::string& key) {
+std::string Front::JobAlias(const std::string& class_name, const std::string& key) {
   return class_name + "/" + key;
 }
 
-// The request as it would go to a target: what is read again for a round after a restart.
-durable::Task Front::TaskOf(const Message& message, const pebblenotch::Request& request, std::string alias) {
+// The request as it is forwarded to a target, in the form that is stored and parsed again for each later
+// round.
+durable::Task Front::ToTask(const Message& message, const pebblenotch::Request& request, std::string alias) {
   Headers headers;
   for (const char* name : kForwardedHeaders) {
     if (const auto* value = message.Find(name)) headers.emplace_back(name, *value);
@@ -39,159 +42,165 @@
   return reducer().keeper()->InHand(pending.id);
 }
 
-// Whether the job is over, and its client was told so.
-bool Front::AnswerFromStore(Ingress& in, const std::string& id) {
+// Responds with the outcome of a job that has ended or is unknown. Returns false if the job is still open.
+bool Front::RespondFromStore(Ingress& in, const std::string& id) {
   const durable::Job* job = reducer().keeper()->book().Find(id);
   if (job == nullptr) {
-    in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "shed\n");
+    in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}}, "shed\n");
   } else if (job->state != durable::State::kAnswered) {
     return false;
   } else if (job->answer == durable::Answer::kDone) {
-    in.Answer(200, {}, job->text);
+    in.Respond(200, {}, job->text);
   } else {
-    in.Answer(502, {}, "failed\n");
+    in.Respond(502, {}, "failed\n");
   }
   return true;
 }
 
-// The client's time counts on while others are asked.
-void Front::LookUp(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias) {
-  if (!MayWait(in)) return;
-  ++looking_up_;
+// The client's deadline keeps running during the lookup.
+void Front::LookUpElsewhere(Ingress& in, Message message, core::RequestArrived arrived,
+                            const std::string& alias) {
+  if (!BeginService(in)) return;
+  ++open_lookups_;
   const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - shared_.loop.Now();
-  job_lookup_(alias, std::clamp<Micros>(left, 1, kLookUpTime),
+  job_lookup_(alias, std::clamp<Micros>(left, 1, kLookupTimeout),
               [this, at = in.weak_from_this(), ticket = in.ticket, message = std::move(message),
                arrived = std::move(arrived), alias](const cluster::copies::LookupResult& result) {
-                --looking_up_;
+                --open_lookups_;
                 const auto client = at.lock();
-                if (client == nullptr || client->left || client->ticket != ticket) return;
+                if (client == nullptr || client->removed || client->ticket != ticket) return;
                 client->ticket = 0;
                 if (result.status != cluster::copies::LookupStatus::kUnknown)
-                  return AnswerFromElsewhere(*client, result);
-                // It may have come meanwhile, from another client or another scheduler.
+                  return RespondFromLookup(*client, result);
+                // The job may have arrived in the meantime from another client or scheduler.
                 if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
-                  return Join(*client, message, std::string(*job), arrived.request.job_class);
-                if (reducer().IsKnown(arrived.id)) return client->Answer(409, {}, "Req-Id is in use\n");
+                  return JoinJob(*client, message, std::string(*job), arrived.request.job_class);
+                if (reducer().IsKnown(arrived.id)) return client->Respond(409, {}, "Req-Id is in use\n");
                 Admit(*client, message, arrived, alias);
               });
 }
 
-void Front::AnswerFromElsewhere(Ingress& in, const cluster::copies::LookupResult& result) {
+void Front::RespondFromLookup(Ingress& in, const cluster::copies::LookupResult& result) {
   using cluster::copies::LookupStatus;
-  ++joins_;
-  if (result.status == LookupStatus::kDone) return in.Answer(200, {}, result.result);
-  if (result.status == LookupStatus::kFailed) return in.Answer(502, {}, "failed\n");
-  in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}},
-            result.status == LookupStatus::kOpen ? "it is under way; come again by the same key\n"
-                                                 : "another may have this job; come again by the same key\n");
+  ++join_count_;
+  if (result.status == LookupStatus::kDone) return in.Respond(200, {}, result.result);
+  if (result.status == LookupStatus::kFailed) return in.Respond(502, {}, "failed\n");
+  in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+             result.status == LookupStatus::kOpen
+                 ? "it is under way; come again by the same key\n"
+                 : "another may have this job; come again by the same key\n");
 }
 
-void Front::Join(Ingress& in, const Message& message, const std::string& id, int job_class) {
-  ++joins_;
+void Front::JoinJob(Ingress& in, const Message& message, const std::string& id, int job_class) {
+  ++join_count_;
   if (reducer().ShedsAllArrivals(shared_.loop.Now()))
-    return in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}},
-                     "shutting down; come again by the same key\n");
-  if (!MayHold()) return in.Answer(503, {{"Retry-After", "1"}}, "too many requests held\n");
-  Micros patience = config_.module.settings.classes[static_cast<std::size_t>(job_class)].deadline;
+    return in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                      "shutting down; come again by the same key\n");
+  if (!CanHoldRequest()) return in.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
+  Micros timeout = config_.module.settings.classes[static_cast<std::size_t>(job_class)].deadline;
   if (const auto* text = message.Find("Req-Deadline-Ms")) {
     const auto ms = ParseNumber<std::int64_t>(*text);
-    if (ms && *ms > 0) patience = std::min(*ms, patience / 1000) * 1000;
+    if (ms && *ms > 0) timeout = std::min(*ms, timeout / 1000) * 1000;
   }
   in.ticket = ++last_ticket_;
   Joined& joined = joined_[in.ticket];
-  joined.from = &in;
+  joined.client = &in;
   joined.id = id;
-  joined.patience = std::make_unique<net::Timer>(
-      shared_.loop, [this, ticket = in.ticket] { ComeAgain(joined_.find(ticket)); });
-  joined.patience->Start(std::max<Micros>(1, patience - core::Reducer::kAnswerMargin));
+  joined.timer = std::make_unique<net::Timer>(
+      shared_.loop, [this, ticket = in.ticket] { AskToRetry(joined_.find(ticket)); });
+  joined.timer->Start(std::max<Micros>(1, timeout - core::Reducer::kAnswerMargin));
   joined_by_job_.emplace(id, in.ticket);
-  // An answer that is in the book may not be on the disk yet.
+  // An answer in the job table may not be on disk yet.
   const int home = reducer().keeper()->HomeOf(id);
   driver_.WhenStored(
       [this, id](bool stored) {
-        // What no majority has may be answered otherwise by another: it is told when it is stored, or not at
-        // all.
+        // Without a majority, another scheduler may answer the job differently, so the answer is sent only
+        // once it is stored.
         if (!stored && driver_.copied()) return;
-        core::Settled now{id};
+        core::Settled settled{id};
         if (const auto* job = reducer().keeper()->book().Find(id);
             job == nullptr || job->state == durable::State::kAnswered)
-          Do(now);
+          Perform(settled);
       },
       home);
 }
 
-void Front::ComeAgain(std::map<core::Ticket, Joined>::iterator it) {
-  Ingress& client = *it->second.from;
-  Leave(it);
-  client.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}},
-                "it is under way; come again by the same key\n");
+void Front::AskToRetry(std::map<core::Ticket, Joined>::iterator it) {
+  Ingress& client = *it->second.client;
+  RemoveJoined(it);
+  client.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                 "it is under way; come again by the same key\n");
 }
 
-void Front::Leave(std::map<core::Ticket, Joined>::iterator it) {
+void Front::RemoveJoined(std::map<core::Ticket, Joined>::iterator it) {
   const auto [first, last] = joined_by_job_.equal_range(it->second.id);
-  for (auto row = first; row != last; ++row) {
-    if (row->second != it->first) continue;
-    joined_by_job_.erase(row);
+  for (auto entry = first; entry != last; ++entry) {
+    if (entry->second != it->first) continue;
+    joined_by_job_.erase(entry);
     break;
   }
-  it->second.patience->Stop();
-  shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(it->second.patience)));
+  it->second.timer->Stop();
+  shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(it->second.timer)));
   joined_.erase(it);
 }
 
-void Front::Do(core::Settled& e) {
+void Front::Perform(core::Settled& e) {
   for (;;) {
-    const auto row = joined_by_job_.find(e.id);
-    if (row == joined_by_job_.end()) return;
-    const auto it = joined_.find(row->second);
+    const auto entry = joined_by_job_.find(e.id);
+    if (entry == joined_by_job_.end()) return;
+    const auto it = joined_.find(entry->second);
     const auto* job = reducer().keeper()->book().Find(e.id);
     if (job != nullptr && job->state != durable::State::kAnswered) {
-      ComeAgain(it);
+      AskToRetry(it);
       continue;
     }
-    Ingress& client = *it->second.from;
-    Leave(it);
-    AnswerFromStore(client, e.id);
+    Ingress& client = *it->second.client;
+    RemoveJoined(it);
+    RespondFromStore(client, e.id);
   }
 }
 
-// Whether a call-back may wait for its answer. While nothing can be stored each waits for a second, and they
-// must not fill the connections that clients need to be refused on: over the bound it is told to come again.
-bool Front::MayWait(Ingress& in) {
+// Marks a connection as in service, or responds with 503 if the limit is reached. While the store is
+// unavailable each callback waits for a second, and waiting callbacks must not take the connections on which
+// clients are shed.
+bool Front::BeginService(Ingress& in) {
   if (InService() >= budget_.in_service) {
-    in.Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "too many call-backs wait; say it again\n");
+    in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+               "too many call-backs wait; say it again\n");
     return false;
   }
-  in.ticket = ++last_ticket_;  // in service, until it is answered
+  in.ticket = ++last_ticket_;  // in service until it has its response
   return true;
 }
 
-void Front::AnswerWhenStored(Ingress& in, int home) {
-  if (!MayWait(in)) return;
+void Front::RespondWhenStored(Ingress& in, int home) {
+  if (!BeginService(in)) return;
   driver_.WhenStored(
       [at = in.weak_from_this(), ticket = in.ticket](bool stored) {
         const auto client = at.lock();
-        if (client == nullptr || client->left || client->ticket != ticket) return;
-        if (stored) return client->Answer(200, {}, {});
-        client->Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "not stored yet; say it again\n");
+        if (client == nullptr || client->removed || client->ticket != ticket) return;
+        if (stored) return client->Respond(200, {}, {});
+        client->Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}}, "not stored yet; say it again\n");
       },
       home);
 }
 
-// One that nobody has is over and forgotten: its worker is told so as ever.
-void Front::LeadNews(Ingress& in, const core::HopCallback& news) {
-  if (!MayWait(in)) return;
-  forward_report_(news, [at = in.weak_from_this(),
-                         ticket = in.ticket](cluster::copies::ForwardOutcome outcome) {
-    const auto client = at.lock();
-    if (client == nullptr || client->left || client->ticket != ticket) return;
-    if (outcome != cluster::copies::ForwardOutcome::kRetry) return client->Answer(200, {}, {});
-    client->Answer(503, {{"Retry-After", FormatSeconds(kComeAgain)}}, "nobody holds it now; say it again\n");
-  });
+// A job that no scheduler holds has ended and been deleted; its worker gets a 200 as usual.
+void Front::ForwardCallback(Ingress& in, const core::HopCallback& callback) {
+  if (!BeginService(in)) return;
+  forward_report_(callback,
+                  [at = in.weak_from_this(), ticket = in.ticket](cluster::copies::ForwardOutcome outcome) {
+                    const auto client = at.lock();
+                    if (client == nullptr || client->removed || client->ticket != ticket) return;
+                    if (outcome != cluster::copies::ForwardOutcome::kRetry)
+                      return client->Respond(200, {}, {});
+                    client->Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                                    "nobody holds it now; say it again\n");
+                  });
 }
 
-// A round without a client: what was stored goes out as it came.
-void Front::Do(core::StartRound& e) {
+// Starts a round without a client from the stored request.
+void Front::Perform(core::StartRound& e) {
   const durable::Job* job = reducer().keeper()->book().Find(e.id);
   MessageParser reader(HTTP_REQUEST, kMaxBodyBytes);
   std::size_t used = 0;
@@ -209,8 +218,9 @@
       shared_.loop.Now() + config_.module.settings.classes[static_cast<std::size_t>(job->job_class)].deadline;
   r.key = job->key;
   r.priority = job->priority;
-  ReadExtra(message, r);
-  if (rules_ != nullptr) r.required_groups = rules_->Judge(shared_.loop.Now(), AsRequest(message), true).only;
+  ParseResources(message, r);
+  if (rules_ != nullptr)
+    r.required_groups = rules_->Judge(shared_.loop.Now(), ToRuleRequest(message), true).only;
   pending_bytes_ += message.size();
   pending_.emplace(r.id, Pending{nullptr, e.id, std::move(message)});
   driver_.Post(std::move(arrived));
--- a/src/fronts/http/egress.cpp
+++ b/src/fronts/http/egress.cpp
@@ -15,26 +15,26 @@
         stream(owner.shared_, address, owner.limits_.dial_timeout, "egress " + net::ToText(address), *this) {}
 
   void OnUp() override {
-    if (call != 0) Depart();
-    if (egress.dialled_) egress.dialled_(target, true);  // it may end this connection
+    if (call != 0) SendRequest();
+    if (egress.dial_ended_) egress.dial_ended_(target, true);  // the callback may close this connection
   }
-  void Depart() {
+  void SendRequest() {
     const auto bytes = std::exchange(compose, nullptr)();
-    // Told from the loop, as every other end of a call.
+    // Reported from the event loop, like every other outcome of a call.
     if (!bytes) return timer.Start(0);
-    departed = true;
+    request_written = true;
     timer.Start(kSendTimeout);
     stream.Write(*bytes);
   }
   void OnSent() override {
     if (call == 0) return;
     timer.Stop();
-    if (patience > 0) timer.Start(patience);
+    if (response_timeout > 0) timer.Start(response_timeout);
   }
   void OnData(std::string_view bytes) override {
     std::size_t used = 0;
     const ParseState state = reader.Feed(bytes, used);
-    if (call == 0) return egress.Remove(*this, net::Reason::kProtocol);  // nobody asked
+    if (call == 0) return egress.Remove(*this, net::Reason::kProtocol);  // a response without a request
     if (state == ParseState::kIncomplete) return;
     if (state != ParseState::kComplete)
       return egress.Finish(*this, {CallResult::Kind::kConnectionLost, {}}, false);
@@ -43,58 +43,58 @@
     egress.Finish(*this, {CallResult::Kind::kResponse, std::move(answer)}, reusable);
   }
   void OnEnd(net::Reason) override {
-    if (stream.refused() && egress.dialled_) egress.dialled_(target, false);
-    if (call != 0 && reused) egress.distrust_until_ = egress.shared_.loop.Now() + kDistrust;
-    // Guards the line between "never ran" and "may have run": the last byte's leaving.
-    egress.Finish(*this, {gone_out() ? CallResult::Kind::kConnectionLost : CallResult::Kind::kSendFailed, {}},
-                  false);
+    if (stream.refused() && egress.dial_ended_) egress.dial_ended_(target, false);
+    if (call != 0 && reused) egress.avoid_reuse_until_ = egress.shared_.loop.Now() + kAvoidReuseTime;
+    // Once the last byte has been sent, the target may have run the request; before that, it cannot have.
+    egress.Finish(
+        *this, {fully_sent() ? CallResult::Kind::kConnectionLost : CallResult::Kind::kSendFailed, {}}, false);
   }
   void OnTimer() {
     if (call == 0) return egress.Remove(*this, net::Reason::kIdle);
-    if (!departed) return egress.Finish(*this, {CallResult::Kind::kWithdrawn, {}}, true);
-    egress.Finish(*this, {gone_out() ? CallResult::Kind::kTimedOut : CallResult::Kind::kSendFailed, {}},
+    if (!request_written) return egress.Finish(*this, {CallResult::Kind::kWithdrawn, {}}, true);
+    egress.Finish(*this, {fully_sent() ? CallResult::Kind::kTimedOut : CallResult::Kind::kSendFailed, {}},
                   false);
   }
-  bool gone_out() const { return departed && stream.all_sent(); }
+  bool fully_sent() const { return request_written && stream.all_sent(); }
 
   Egress& egress;
   core::TargetId target;
   net::Address at;
   MessageParser reader;
-  net::Timer timer;  // sending, then waiting; or idling
+  net::Timer timer;  // limits sending, then the wait for the response, or the idle time
   net::Stream stream;
-  CallId call = 0;  // 0: idle
-  Compose compose;  // until it has departed
-  bool departed = false;
-  Micros patience = 0;
+  CallId call = 0;         // 0: idle
+  ComposeRequest compose;  // null once the request has been written
+  bool request_written = false;
+  Micros response_timeout = 0;
   Done done;
   bool reused = false;
 };
 
-Egress::CallId Egress::Call(core::TargetId target, const net::Address& at, Compose compose, Micros patience,
-                            bool harmless, Done done) {
+Egress::CallId Egress::Call(core::TargetId target, const net::Address& at, ComposeRequest compose,
+                            Micros response_timeout, bool loss_harmless, Done done) {
   const CallId id = ++last_call_;
   auto& idle = idle_[target];
-  // Guards against kept connections that are dead without a word, where targets or what stands before them
-  // end them early: a hop that is lost on one may have run. A new connection costs a few milliseconds. Which
-  // days are like that is told nowhere; the first break tells.
-  while (!idle.empty() && (harmless || !Distrusts())) {
+  // Avoids idle connections that targets or middleboxes have dropped silently: a hop lost on one may have
+  // run, while a new connection costs only a few milliseconds. Such conditions are not announced; the first
+  // failure of a reused connection reveals them.
+  while (!idle.empty() && (loss_harmless || !AvoidsReuse())) {
     Connection& c = *idle.back();
     idle.pop_back();
-    // Guards against a request that ends as a reset, or is answered by what an earlier one left behind: the
-    // target's close, or its late bytes, may be here already and only not read yet.
+    // The target's close or late bytes of an earlier response may have arrived and not been read yet; a
+    // request sent now would be reset or matched with the wrong response.
     const net::Stream::Unread unread = c.stream.Peek();
     if (net::Same(c.at, at) && unread == net::Stream::Unread::kNothing) {
       c.reused = true;
-      Begin(c, std::move(compose), patience, id, std::move(done));
+      Begin(c, std::move(compose), response_timeout, id, std::move(done));
       return id;
     }
     Remove(c, unread == net::Stream::Unread::kEnd     ? net::Reason::kPeerClosed
               : unread == net::Stream::Unread::kBytes ? net::Reason::kProtocol
                                                       : net::Reason::kReplaced);
   }
-  if (connections_.size() >= MostConnections() && !MakeRoom()) {
-    // Told from the loop, as every other end of a call.
+  if (connections_.size() >= MostConnections() && !CloseOldestIdle()) {
+    // Reported from the event loop, like every other outcome of a call.
     auto timer = std::make_shared<std::unique_ptr<net::Timer>>();
     *timer = std::make_unique<net::Timer>(shared_.loop, [this, timer, done = std::move(done)] {
       auto keep = std::move(*timer);
@@ -105,42 +105,43 @@
     return id;
   }
   connections_.push_back(std::make_shared<Connection>(*this, target, at));
-  if (connections_.size() > limits_.most_connections && !give_back_.running()) give_back_.Start(kGiveBack);
-  Begin(*connections_.back(), std::move(compose), patience, id, std::move(done));
+  if (connections_.size() > limits_.most_connections && !close_borrowed_.running())
+    close_borrowed_.Start(kCloseBorrowedInterval);
+  Begin(*connections_.back(), std::move(compose), response_timeout, id, std::move(done));
   return id;
 }
 
-void Egress::Begin(Connection& c, Compose compose, Micros patience, CallId id, Done done) {
+void Egress::Begin(Connection& c, ComposeRequest compose, Micros response_timeout, CallId id, Done done) {
   c.call = id;
   c.compose = std::move(compose);
-  c.departed = false;
-  c.patience = patience;
+  c.request_written = false;
+  c.response_timeout = response_timeout;
   c.done = std::move(done);
   calls_[id] = &c;
   c.timer.Stop();
-  if (c.stream.up()) c.Depart();
+  if (c.stream.up()) c.SendRequest();
 }
 
-bool Egress::Close(CallId call) {
+bool Egress::Cancel(CallId call) {
   const auto it = calls_.find(call);
   if (it == calls_.end()) return false;
   Connection& c = *it->second;
-  const bool never_sent = !c.gone_out();
+  const bool not_fully_sent = !c.fully_sent();
   calls_.erase(it);
   Remove(c, net::Reason::kCalledOff);
-  return never_sent;
+  return not_fully_sent;
 }
 
-void Egress::CatchUp(CallId call) {
+void Egress::ReadPendingData(CallId call) {
   const auto it = calls_.find(call);
   if (it != calls_.end()) it->second->stream.CatchUp();
 }
 
-void Egress::Expire(CallId call, Micros patience) {
+void Egress::SetResponseTimeout(CallId call, Micros response_timeout) {
   const auto it = calls_.find(call);
   if (it == calls_.end()) return;
-  it->second->patience = patience;
-  if (it->second->gone_out()) it->second->timer.Start(patience);
+  it->second->response_timeout = response_timeout;
+  if (it->second->fully_sent()) it->second->timer.Start(response_timeout);
 }
 
 void Egress::Finish(Connection& c, CallResult result, bool reusable) {
@@ -149,10 +150,10 @@
   c.done = nullptr;
   c.compose = nullptr;
   calls_.erase(call);
-  if (reusable && (!Distrusts() || idle_[c.target].empty())) {
+  if (reusable && (!AvoidsReuse() || idle_[c.target].empty())) {
     idle_[c.target].push_back(&c);
-    // Guards against a request written to a connection that the target is about to close, which would end as
-    // a reset: the target's clock for it started a little before this one.
+    // Closes the connection well before the target's idle timeout, which started slightly earlier: a request
+    // written as the target closes would be reset.
     c.timer.Start(limits_.conn_idle * 2 / 5);
   } else {
     Remove(c, result.kind == CallResult::Kind::kResponse     ? net::Reason::kAnswered
@@ -175,16 +176,16 @@
   connections_.erase(it);
 }
 
-// Guards the parts whose descriptors were lent: they may want them back at any time.
-void Egress::GiveBack() {
+// Closes idle connections that use borrowed descriptors once their owners need them.
+void Egress::CloseBorrowed() {
   const std::size_t most = MostConnections();
-  while (connections_.size() > most && MakeRoom()) {
+  while (connections_.size() > most && CloseOldestIdle()) {
   }
-  if (connections_.size() > limits_.most_connections) give_back_.Start(kGiveBack);
+  if (connections_.size() > limits_.most_connections) close_borrowed_.Start(kCloseBorrowedInterval);
 }
 
-// Closes the oldest of the idle connections, whatever its target.
-bool Egress::MakeRoom() {
+// Closes the oldest idle connection of any target. Returns false if there is none.
+bool Egress::CloseOldestIdle() {
   for (const auto& c : connections_) {
     if (c->call != 0) continue;
     Remove(*c, net::Reason::kMakeRoom);
--- a/src/fronts/http/egress.h
+++ b/src/fronts/http/egress.h
@@ -1,4 +1,5 @@
-// Connections to egress targets: one call at a time on each, kept for the next, closed before they go stale.
+// Connection pool towards egress targets: one call at a time on each connection, reuse by later calls, and
+// closing of idle connections before the target does.
 #ifndef HERONWAY_FRONTS_HTTP_EGRESS_H_
 #define HERONWAY_FRONTS_HTTP_EGRESS_H_
 
@@ -20,82 +21,90 @@
 
 using net::Micros;
 
+// Outcome of a call to a target.
 struct CallResult {
   enum class Kind {
-    kResponse,
-    kSendFailed,      // the connection never came up, or ended before the last byte had left
-    kNoDescriptor,    // there was no descriptor for it: that tells nothing of the target
-    kWithdrawn,       // it was not to be sent any more when it could leave, and was not
-    kConnectionLost,  // it ended after that and before an answer
-    kTimedOut         // the call's patience ran out
+    kResponse,        // `message` is the response
+    kSendFailed,      // the connection failed before the whole request was sent
+    kNoDescriptor,    // no descriptor was available; says nothing about the target
+    kWithdrawn,       // the request was no longer valid when the connection was ready, and was not sent
+    kConnectionLost,  // the connection ended after the request was sent and before a response
+    kTimedOut         // the response timeout expired
   };
   Kind kind = Kind::kSendFailed;
   Message message;
 };
 
+// The connections to all targets. Not thread-safe; used on the event loop's thread.
 class Egress {
  public:
   struct Limits {
     Micros dial_timeout, conn_idle;
     std::size_t most_connections;
-    std::function<std::size_t()> lent = nullptr;  // that it may have beyond these at this moment
+    // Number of connections currently allowed in addition; may be null.
+    std::function<std::size_t()> borrowable = nullptr;
   };
   using CallId = std::uint64_t;
   using Done = std::function<void(const CallResult&)>;
-  // Gives a request's bytes in the moment in which they can leave; nothing where it must not be sent any
-  // more: while a connection comes up its target may have begun to drain, or its client may have gone.
-  using Compose = std::function<std::optional<std::string>()>;
+  // Returns the request's bytes once the connection is ready to send them, or nullopt if the request must not
+  // be sent any more: while the connection was established, the target may have started to drain or the
+  // client may have disconnected.
+  using ComposeRequest = std::function<std::optional<std::string>()>;
 
-  // How a dial ended: its connection is up, or the target's machine refused it.
-  using Dialled = std::function<void(core::TargetId, bool came_up)>;
+  // Reports the end of a connection attempt: established (`came_up`), or refused by the target's machine.
+  using DialEnded = std::function<void(core::TargetId, bool came_up)>;
 
-  Egress(net::Shared& shared, const Limits& limits, Dialled dialled = nullptr)
+  Egress(net::Shared& shared, const Limits& limits, DialEnded dial_ended = nullptr)
       : shared_(shared),
         limits_(limits),
-        dialled_(std::move(dialled)),
-        give_back_(shared.loop, [this] { GiveBack(); }) {}
+        dial_ended_(std::move(dial_ended)),
+        close_borrowed_(shared.loop, [this] { CloseBorrowed(); }) {}
 
-  // Sends a request to a target; `done` is called once, from the loop, unless the call is closed.
-  // `patience` 0: however long it takes. `harmless`: nothing is lost where the request is lost on the way.
-  CallId Call(core::TargetId target, const net::Address& at, Compose compose, Micros patience, bool harmless,
-              Done done);
-  // Ends an unanswered call with its connection. True where its request had not left whole: then the target
-  // never begins it. False where there is no such call.
-  bool Close(CallId call);
-  // Reads what has come for an unanswered call and waits for the loop's turn; the call may be over by it.
-  void CatchUp(CallId call);
-  // Nothing hangs on the answer any more: it is waited for no longer than this.
-  void Expire(CallId call, Micros patience);
+  // Sends a request to a target. `done` is called once, unless the call is cancelled; this may happen before
+  // Call returns, if a reused connection fails during the write. `response_timeout` is in microseconds; 0
+  // means no limit. `loss_harmless`: losing the request in transit does no harm, so any kept connection may
+  // be reused.
+  CallId Call(core::TargetId target, const net::Address& at, ComposeRequest compose, Micros response_timeout,
+              bool loss_harmless, Done done);
+  // Cancels an unanswered call by closing its connection. Returns true if the request had not been sent
+  // completely, so that the target never starts it; false otherwise or if there is no such call.
+  bool Cancel(CallId call);
+  // Reads data that has arrived for an unanswered call but is not read yet. This may complete the call.
+  void ReadPendingData(CallId call);
+  // Limits the remaining wait for a response that is no longer needed, in microseconds.
+  void SetResponseTimeout(CallId call, Micros response_timeout);
   std::size_t connections() const { return connections_.size(); }
 
-  // A request that has not left in this time is taken back: its target may have drained meanwhile.
+  // A request that could not be sent within this time is cancelled: its target may have started to drain
+  // since.
   static constexpr Micros kSendTimeout = 1'000'000;
-  // After a kept connection broke under a request, hops go on new ones for this long.
-  static constexpr Micros kDistrust = 120'000'000;
-  // Until connections beyond what there may be are closed, where they are idle.
-  static constexpr Micros kGiveBack = 100'000;
+  // After a reused connection failed during a request, hops use new connections for this long.
+  static constexpr Micros kAvoidReuseTime = 120'000'000;
+  // Interval at which idle connections beyond the current limit are closed.
+  static constexpr Micros kCloseBorrowedInterval = 100'000;
 
  private:
   struct Connection;
-  void Begin(Connection& c, Compose compose, Micros patience, CallId id, Done done);
+  void Begin(Connection& c, ComposeRequest compose, Micros response_timeout, CallId id, Done done);
   void Finish(Connection& c, CallResult result, bool reusable);
   void Remove(Connection& c, net::Reason reason);
-  bool MakeRoom();
-  void GiveBack();
+  bool CloseOldestIdle();
+  void CloseBorrowed();
   std::size_t MostConnections() const {
-    return limits_.most_connections + (limits_.lent ? limits_.lent() : 0);
+    return limits_.most_connections + (limits_.borrowable ? limits_.borrowable() : 0);
   }
-  bool Distrusts() const { return shared_.loop.Now() < distrust_until_; }
+  bool AvoidsReuse() const { return shared_.loop.Now() < avoid_reuse_until_; }
 
   net::Shared& shared_;
   Limits limits_;
-  Dialled dialled_;
-  net::Timer give_back_;
+  DialEnded dial_ended_;
+  net::Timer close_borrowed_;
   std::list<std::shared_ptr<Connection>> connections_;
-  std::unordered_map<core::TargetId, std::vector<Connection*>> idle_;  // the last used at the back
+  // per target, most recently used last
+  std::unordered_map<core::TargetId, std::vector<Connection*>> idle_;
   std::unordered_map<CallId, Connection*> calls_;
   CallId last_call_ = 0;
-  Micros distrust_until_ = 0;
+  Micros avoid_reuse_until_ = 0;
 };
 
 }  // namespace heronway::http
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -21,24 +21,25 @@
 namespace heronway::http {
 namespace {
 
-// A usual client sends at once; a connection that has sent nothing whole for so long makes room for others.
-constexpr Micros kSilent = 250'000;
-// Clocks of schedulers may differ by so much, where one's word of a time reaches another.
-constexpr Micros kClocksMay = 5'000'000;
-constexpr Micros kLookAgain = 50'000;  // while draining, for connections that have become idle
-constexpr int kLooks = 64;             // connections looked at to make room for one
-
-// Whether bytes behind a request can be the start of another. Where they cannot, the length that the request
-// gave was wrong, and so is what was read as its body.
-bool MayBegin(std::string_view bytes) {
+// Clients usually send at once; a connection without a complete request for this long may be closed in favour
+// of others.
+constexpr Micros kSilentTime = 250'000;
+// Largest accepted clock difference between schedulers for times that they exchange.
+constexpr Micros kMaxClockDifference = 5'000'000;
+constexpr Micros kCloseIdleInterval = 50'000;  // interval of closing idle connections while draining
+constexpr int kMaxEvictionTries = 64;          // connections examined to free one descriptor
+
+// Whether the bytes after a request can be the start of another. If not, the length given by the request was
+// wrong, and so is the body that was read.
+bool CanBeginRequest(std::string_view bytes) {
   MessageParser next(HTTP_REQUEST, kMaxBodyBytes);
   std::size_t used = 0;
   const ParseState state = next.Feed(bytes, used);
   return state == ParseState::kIncomplete || state == ParseState::kComplete;
 }
 
-// The name that reports on the sockets use for a value that the settings call otherwise.
-std::string OnSockets(const std::string& name) {
+// Maps a settings name of a load value to its name in HTTP reports.
+std::string WireFieldName(const std::string& name) {
   return name == "waiting"   ? "queue"
          : name == "active"  ? "inflight"
          : name == "cpu"     ? "util"
@@ -52,7 +53,7 @@
 
 Budget ComputeBudget(const config::Config& config, const config::Options& options, bool faktory) {
   const auto sockets = static_cast<std::size_t>(config.sockets);
-  std::size_t others = 0;  // descriptors
+  std::size_t others = 0;  // descriptors of other parts
   if (faktory) others += sockets / 10;
   if (config.has_console) others += console::Console::kMaxConnections + 1;
   if (options.cluster.enabled) others += cluster::Node::kMaxDescriptors;
@@ -76,9 +77,9 @@
           shared,
           {config.dial_timeout, config.conn_idle, budget_.egress,
            [this] { return budget_.BorrowableByEgress(unused_descriptors_ ? unused_descriptors_() : 0); }},
-          [this](core::TargetId target, bool came_up) { Dialled(target, came_up); }),
+          [this](core::TargetId target, bool came_up) { OnDialEnded(target, came_up); }),
       driver_(
-          shared.loop, config.module.settings, config.seed, kTakeLimit, options.limits,
+          shared.loop, config.module.settings, config.seed, kHopAcceptTimeout, options.limits,
           [this](core::Effect& e) { Execute(e); },
           durable::Open(options.durable, "http", config.classes, config.module.settings, config.seed + 4),
           "http"),
@@ -88,11 +89,12 @@
                driver_.Post(std::move(change));
              }),
       listener_(
-          shared.loop, config.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
-          [this](int fd, const net::Address& from) { Accepted(fd, from); }),
+          shared.loop, config.listen, options.limits.accepts,
+          [this](bool must) { return FreeDescriptor(must); },
+          [this](int fd, const net::Address& from) { OnAccepted(fd, from); }),
       close_idle_(shared.loop, [this] { CloseIdle(); }) {
   if (durable()) driver_.Post(core::StoreLoaded{});
-  // Its age is not known: the decisions hear of it once the watch says that it may be acted on.
+  // The age of the configured list is unknown; the reducer uses it once the watch reports that it may.
   routes_.Take(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
   watch_.Begin();
@@ -101,26 +103,25 @@
 Front::~Front() { watch_.Stop(); }
 
 void Front::Drain() {
-  if (reducer().draining()) return;  // a second SIGTERM must not begin the times of the first anew
+  if (reducer().draining()) return;  // a second SIGTERM must not restart the shutdown's timers
   driver_.Post(core::DrainStarted{});
-  LogStop("begun");
-  // Clients come on the connections they have for as long as these stay open. Found on a day on which the
-  // other scheduler was not back yet: those that were closed at once found nobody.
+  LogStopState("begun");
+  // Connections are kept open at first, because clients keep using them while they are open. If another
+  // scheduler is still restarting, clients disconnected at once would find no scheduler at all.
   close_idle_.Start(reducer().stop_times().close_idle);
 }
 
 void Front::SetCordoned(bool on) {
   driver_.Post(core::Cordon{on});
   if (on)
-    return close_idle_.Start(
-        reducer().stop_times().close_idle);  // clients on the way to it meanwhile are served
+    return close_idle_.Start(reducer().stop_times().close_idle);  // clients arriving until then are served
   if (reducer().draining()) return;
   close_idle_.Stop();
-  closing_ = false;
+  closing_idle_ = false;
 }
 
-// The steps of a planned stop, with what they find.
-void Front::LogStop(const char* state) const {
+// Logs a step of a graceful shutdown with the current counts.
+void Front::LogStopState(const char* state) const {
   const core::StopTimes& times = reducer().stop_times();
   log::Event(log::Level::kInfo, "stop",
              {{"front", "http", true},
@@ -140,7 +141,7 @@
 }
 
 bool Front::HasUnsentAnswers() const {
-  if (looking_up_ > 0) return true;
+  if (open_lookups_ > 0) return true;
   const auto& busy = ingress_[static_cast<std::size_t>(Stage::kBusy)];
   return std::any_of(busy.begin(), busy.end(), [](const auto& in) { return !in->stream.all_sent(); });
 }
@@ -158,12 +159,12 @@
     drawn.resize(std::max(drawn.size(), chances.size()), false);
     for (std::size_t i = 0; i < chances.size(); ++i) drawn[i] = drawn[i] || chances[i] > 0;
   }
-  const auto n = static_cast<std::size_t>(std::count(drawn.begin(), drawn.end(), true));
+  const auto selectable = static_cast<std::size_t>(std::count(drawn.begin(), drawn.end(), true));
   const std::size_t ready = routes_.Count(pebblenotch::WorkerState::kReady);
-  return ready > n ? ready - n : 0;
+  return ready > selectable ? ready - selectable : 0;
 }
 
-// Rules name other groups of targets.
+// The rules may define other groups of targets.
 void Front::RulesChanged() {
   core::RoutesChanged change = routes_.Regroup();
   if (watch_.usable()) driver_.Post(std::move(change));
@@ -172,58 +173,58 @@
 void Front::SetDiscoveryAddress(const net::Address& at) { watch_.MoveTo(at); }
 
 // ---- ingress
-void Front::Accepted(int fd, const net::Address& from) {
-  NoteRoom();
-  auto& places = At(Stage::kFresh);
-  places.push_back(std::make_shared<Ingress>(*this, fd, from));
-  places.back()->place = std::prev(places.end());
+void Front::OnAccepted(int fd, const net::Address& from) {
+  OnIngressAvailable();
+  auto& connections = InStage(Stage::kNew);
+  connections.push_back(std::make_shared<Ingress>(*this, fd, from));
+  connections.back()->list_position = std::prev(connections.end());
   ++connection_count_;
   if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressConnected{});
 }
 
-// Puts a connection where it stands now, behind those that came there before, and counts what it holds.
-void Front::Settle(Ingress& in) {
-  const std::size_t holds = in.ahead.size() + (in.reader.begun() ? in.reader.message().size() : 0);
-  incoming_bytes_ += holds - std::exchange(in.counted, holds);
+// Moves a connection to the list of its current stage, at the end, and updates the count of incoming bytes.
+void Front::UpdateStage(Ingress& in) {
+  const std::size_t holds = in.pipelined.size() + (in.reader.started() ? in.reader.message().size() : 0);
+  incoming_bytes_ += holds - std::exchange(in.counted_bytes, holds);
   const Stage stage = in.stage();
-  if (stage == in.placed) return;
-  At(stage).splice(At(stage).end(), At(in.placed), in.place);
-  in.placed = stage;
-  in.placed_at = shared_.loop.Now();
-}
-
-// Guards the budget of descriptors. A connection that has said nothing for a while makes room first, then
-// those that were never served, then idle ones: their clients lose nothing by it. Last, one that has been
-// bringing in a request for a while. Those in service never do, nor one whose first bytes may be on their
-// way: it would lose its request for another that is no better. `must`: the process has no descriptor
-// left, whatever its budget.
-bool Front::MakeRoom(bool must) {
+  if (stage == in.listed_stage) return;
+  InStage(stage).splice(InStage(stage).end(), InStage(in.listed_stage), in.list_position);
+  in.listed_stage = stage;
+  in.stage_since = shared_.loop.Now();
+}
+
+// Frees a descriptor for a new connection if the budget is used up. Closes a connection that has been silent
+// for a while first, then one that was never served, then an idle one: their clients lose nothing. Last, one
+// that has been receiving a request for a while. Connections in service are never closed, nor new ones whose
+// first bytes may be in flight, as that would only trade one request for another. `must`: the process has no
+// descriptor left, whatever the budget says. Returns whether a connection can be accepted.
+bool Front::FreeDescriptor(bool must) {
   if (!must && connection_count_ < budget_.ingress) return true;
-  const auto long_there = [this](Stage stage) {
-    const auto& places = At(stage);
-    return !places.empty() && shared_.loop.Now() - places.front()->placed_at > kSilent;
+  const auto has_waiting = [this](Stage stage) {
+    const auto& connections = InStage(stage);
+    return !connections.empty() && shared_.loop.Now() - connections.front()->stage_since > kSilentTime;
   };
-  for (int tries = 0; tries < kLooks; ++tries) {
-    const Stage stage = long_there(Stage::kFresh)         ? Stage::kFresh
-                        : !At(Stage::kTurnedAway).empty() ? Stage::kTurnedAway
-                        : !At(Stage::kKept).empty()       ? Stage::kKept
-                                                          : Stage::kComing;
-    if (stage == Stage::kComing && !long_there(stage)) {
-      NoteFull();
+  for (int tries = 0; tries < kMaxEvictionTries; ++tries) {
+    const Stage stage = has_waiting(Stage::kNew)              ? Stage::kNew
+                        : !InStage(Stage::kUnserved).empty()  ? Stage::kUnserved
+                        : !InStage(Stage::kKeptAlive).empty() ? Stage::kKeptAlive
+                                                              : Stage::kReceiving;
+    if (stage == Stage::kReceiving && !has_waiting(stage)) {
+      OnIngressFull();
       return false;
     }
-    const auto oldest = At(stage).front();
-    // Guards a usual client amid a flood: its request may be there already, and only not read yet.
+    const auto oldest = InStage(stage).front();
+    // The request may have arrived and not been read yet, as happens under a flood of connections.
     if (oldest->stream.ReadWaiting()) continue;
-    ++made_room_;
+    ++evicted_;
     Remove(*oldest, net::Reason::kMakeRoom);
     return true;
   }
-  NoteFull();
+  OnIngressFull();
   return false;
 }
 
-void Front::NoteFull() {
+void Front::OnIngressFull() {
   if (full_since_ >= 0) return;
   full_since_ = shared_.loop.Now();
   log::Event(log::Level::kWarn, "ingress",
@@ -233,115 +234,119 @@
               {"most", budget_.ingress},
               {"requests", pending_.size() + joined_.size()},
               {"most_requests", budget_.requests},
-              {"busy", At(Stage::kBusy).size()}});
+              {"busy", InStage(Stage::kBusy).size()}});
 }
 
-void Front::NoteRoom() {
+void Front::OnIngressAvailable() {
   if (full_since_ < 0) return;
   const Micros waited = shared_.loop.Now() - std::exchange(full_since_, -1);
-  longest_full_ = std::max(longest_full_, waited);
+  longest_full_time_ = std::max(longest_full_time_, waited);
   log::Event(log::Level::kInfo, "ingress",
              {{"front", "http", true}, {"state", "room"}, {"was_full_ms", waited / 1000}});
 }
 
-// While draining: those that wait for nothing. One that is still fresh may be about to send.
+// While draining, closes idle connections. A recently opened connection may be about to send and is kept for
+// a moment.
 void Front::CloseIdle() {
-  if (!std::exchange(closing_, true) && reducer().draining()) LogStop("closing");
-  for (const Stage stage : {Stage::kTurnedAway, Stage::kKept}) {
-    for (std::size_t left = At(stage).size(); left > 0 && !At(stage).empty(); --left) {
-      Ingress& idle = *At(stage).front();
-      if (idle.spilling) {  // it has its answer, and a time of its own
-        At(stage).splice(At(stage).end(), At(stage), idle.place);
+  if (!std::exchange(closing_idle_, true) && reducer().draining()) LogStopState("closing");
+  for (const Stage stage : {Stage::kUnserved, Stage::kKeptAlive}) {
+    for (std::size_t left = InStage(stage).size(); left > 0 && !InStage(stage).empty(); --left) {
+      Ingress& idle = *InStage(stage).front();
+      if (idle.discarding) {  // it has its response and its own timeout
+        InStage(stage).splice(InStage(stage).end(), InStage(stage), idle.list_position);
       } else if (!idle.stream.ReadWaiting()) {
         Remove(idle, net::Reason::kShutdown);
       }
     }
   }
   for (const auto& fresh :
-       Places(At(Stage::kFresh))) {  // a copy: those that are read or closed leave the list
-    if (fresh->left || fresh->reader.begun() || shared_.loop.Now() - fresh->since <= kSilent) continue;
-    if (!fresh->stream.ReadWaiting() && !fresh->left) Remove(*fresh, net::Reason::kShutdown);
+       // a copy, because connections that are read or closed leave the list
+       ConnectionList(InStage(Stage::kNew))) {
+    if (fresh->removed || fresh->reader.started() || shared_.loop.Now() - fresh->connected_at <= kSilentTime)
+      continue;
+    if (!fresh->stream.ReadWaiting() && !fresh->removed) Remove(*fresh, net::Reason::kShutdown);
   }
   if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
-    if (!std::exchange(refusing_, true)) LogStop("refusing");
-    EndComing();
+    if (!std::exchange(rejecting_, true)) LogStopState("refusing");
+    RejectIncomplete();
   }
-  close_idle_.Start(kLookAgain);
+  close_idle_.Start(kCloseIdleInterval);
 }
 
-// Near the end of a planned stop: a request that is still coming in could become whole as the program is
-// killed. It gets its answer now, whatever comes of it.
-void Front::EndComing() {
-  for (const Stage stage : {Stage::kFresh, Stage::kComing}) {
-    for (const auto& coming : Places(At(stage))) {
-      if (coming->left || !coming->reader.begun() || coming->stream.ReadWaiting()) continue;
-      if (!coming->left && coming->reader.begun()) coming->Spoilt(503, "shutting down\n");
+// Near the end of a graceful shutdown, a request that is still being received might be completed just as the
+// process is killed. It is answered now instead.
+void Front::RejectIncomplete() {
+  for (const Stage stage : {Stage::kNew, Stage::kReceiving}) {
+    for (const auto& coming : ConnectionList(InStage(stage))) {
+      if (coming->removed || !coming->reader.started() || coming->stream.ReadWaiting()) continue;
+      if (!coming->removed && coming->reader.started()) coming->RejectAndDiscard(503, "shutting down\n");
     }
   }
-  while (!joined_.empty()) ComeAgain(joined_.begin());
+  while (!joined_.empty()) AskToRetry(joined_.begin());
 }
 
-void Front::Serve(Ingress& in, Message message, std::string_view behind) {
-  auto& places = At(in.placed);
-  places.splice(places.end(), places, in.place);
+void Front::Dispatch(Ingress& in, Message message, std::string_view following) {
+  auto& connections = InStage(in.listed_stage);
+  connections.splice(connections.end(), connections, in.list_position);
   const std::string path = message.target.substr(0, message.target.find('?'));
-  if (path == "/_jobs/news") return TakeNews(in, message);
+  if (path == "/_jobs/news") return HandleCallback(in, message);
   if (path == "/ready") {
     const bool ready = Ready();
-    return in.Answer(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n");
+    return in.Respond(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n");
   }
-  if (!behind.empty() && !MayBegin(behind)) return in.Spoilt(400, "what follows is no request\n");
-  TakeRequest(in, std::move(message));
+  if (!following.empty() && !CanBeginRequest(following))
+    return in.RejectAndDiscard(400, "what follows is no request\n");
+  HandleRequest(in, std::move(message));
 }
 
-// Guards against a target that repeats a call-back for want of an answer: whatever it names, it gets one.
-void Front::TakeNews(Ingress& in, const Message& message) {
-  ++news_;
+// Targets retry callbacks until they get a response, so every callback is answered, even for an unknown job.
+void Front::HandleCallback(Ingress& in, const Message& message) {
+  ++callbacks_;
   Json::Value root;
   const std::unique_ptr<Json::CharReader> json(Json::CharReaderBuilder().newCharReader());
-  bool good = false;
+  bool valid = false;
   const char* begin = message.body.data();
   try {
-    good = json->parse(begin, begin + message.body.size(), &root, nullptr) && root.isObject() &&
-           root["id"].isString() && root["from"].isString() && root["state"].isString();
+    valid = json->parse(begin, begin + message.body.size(), &root, nullptr) && root.isObject() &&
+            root["id"].isString() && root["from"].isString() && root["state"].isString();
   } catch (const Json::Exception&) {
   }
-  if (!good) {
+  if (!valid) {
     ++malformed_;
-    return in.Answer(400, {}, "not a call-back\n");
+    return in.Respond(400, {}, "not a call-back\n");
   }
-  core::HopCallback news;
+  core::HopCallback callback;
   const std::string state = root["state"].asString();
   static const std::map<std::string, core::CallbackState> kStates = {
       {"started", core::CallbackState::kStarted},   {"running", core::CallbackState::kRunning},
       {"done", core::CallbackState::kDone},         {"failed", core::CallbackState::kFailed},
       {"returned", core::CallbackState::kReturned}, {"lost", core::CallbackState::kLost}};
   const auto known = kStates.find(state);
-  news.id = root["id"].asString();
+  callback.id = root["id"].asString();
   auto from = routes_.IdOf(root["from"].asString());
-  // After a crash a call-back may come before discovery has told who it is from.
-  if (!from && durable() && reducer().keeper()->book().Find(news.id) != nullptr)
+  // After a crash, a callback may arrive before discovery has listed its sender.
+  if (!from && durable() && reducer().keeper()->book().Find(callback.id) != nullptr)
     from = discovery::RouteTable::UsualIdOf(root["from"].asString());
-  // Guards a job of the other process on the same address while one replaces the other: a call-back that
-  // reached the process which never held the job is refused and its connection closed, so that the worker
-  // calls again, on a new connection that the kernel may give to the one that holds it.
-  if (!durable() && from && !reducer().IsKnown(news.id)) {
+  // While one process replaces another on the same address, a callback may reach the process that never held
+  // the job. It is rejected and its connection closed, so that the worker retries on a new connection, which
+  // the kernel may assign to the process that holds the job.
+  if (!durable() && from && !reducer().IsKnown(callback.id)) {
     in.keep_alive = false;
-    return in.Answer(503, {}, "not held here\n");
+    return in.Respond(503, {}, "not held here\n");
   }
-  const bool elsewhere = forward_report_ && known != kStates.end() && !reducer().IsPending(news.id) &&
-                         reducer().keeper()->book().Find(news.id) == nullptr;
+  const bool elsewhere = forward_report_ && known != kStates.end() && !reducer().IsPending(callback.id) &&
+                         reducer().keeper()->book().Find(callback.id) == nullptr;
   if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
-  if (known == kStates.end() || !from) return in.Answer(200, {}, {});
-  news.from = *from;
-  news.state = known->second;
-  LogHop(news.id, -1, root["from"].asString(), state);
-  if (root["share"].isNumeric()) news.share = root["share"].asDouble();
+  if (known == kStates.end() || !from) return in.Respond(200, {}, {});
+  callback.from = *from;
+  callback.state = known->second;
+  LogHop(callback.id, -1, root["from"].asString(), state);
+  if (root["share"].isNumeric()) callback.share = root["share"].asDouble();
   const Json::Value& result = root["result"];
   if (result.isString()) {
-    news.result = result.asString();
-  } else if (!result.isNull()) {  // as it was written
-    news.result.assign(begin + result.getOffsetStart(), begin + result.getOffsetLimit());
+    callback.result = result.asString();
+  } else if (!result.isNull()) {  // copied verbatim
+    callback.result.assign(begin + result.getOffsetStart(), begin + result.getOffsetLimit());
   }
   const Json::Value& load = root["load"];
   if (load.isObject()) {
@@ -349,27 +354,27 @@
     for (const auto& name : load.getMemberNames()) {
       if (load[name].isNumeric()) values[name] = load[name].asDouble();
     }
-    news.report = ToReport(values);
-    PublishObservations(news.from, news.report);
+    callback.report = ToReport(values);
+    PublishObservations(callback.from, callback.report);
   }
   if (!durable()) {
-    in.Answer(200, {}, {});
-    return driver_.Post(std::move(news));
+    in.Respond(200, {}, {});
+    return driver_.Post(std::move(callback));
   }
-  if (elsewhere) return LeadNews(in, news);
-  // A worker may forget what it has told once that is stored.
-  const int home = reducer().keeper()->HomeOf(news.id);
-  driver_.Post(std::move(news));
-  AnswerWhenStored(in, home);
+  if (elsewhere) return ForwardCallback(in, callback);
+  // The worker may discard its result once it is stored, so the response waits for that.
+  const int home = reducer().keeper()->HomeOf(callback.id);
+  driver_.Post(std::move(callback));
+  RespondWhenStored(in, home);
 }
 
-// The client has gone, or its connection was ended here.
-void Front::Gone(Ingress& in) {
+// The connection has ended, from either side.
+void Front::OnDisconnected(Ingress& in) {
   if (const core::Ticket ticket = std::exchange(in.ticket, 0); ticket != 0) {
     if (const auto it = joined_.find(ticket); it != joined_.end()) {
-      Leave(it);
+      RemoveJoined(it);
     } else if (const auto it = pending_.find(ticket); it != pending_.end() && IsDurable(it->second)) {
-      it->second.from = nullptr;  // the job goes on; its client may come back for it
+      it->second.client = nullptr;  // the job continues; the client may ask for it again
     } else if (it != pending_.end()) {
       pending_bytes_ -= it->second.message.size();
       pending_.erase(it);
@@ -377,58 +382,60 @@
     driver_.Post(core::IngressDisconnected{ticket});
   }
   in.timer.Stop();
-  if (std::exchange(in.left, true)) return;
-  incoming_bytes_ -= std::exchange(in.counted, 0);
+  if (std::exchange(in.removed, true)) return;
+  incoming_bytes_ -= std::exchange(in.counted_bytes, 0);
   --connection_count_;
-  auto& places = At(in.placed);
-  shared_.loop.Bury(std::move(*in.place));
-  places.erase(in.place);
+  auto& connections = InStage(in.listed_stage);
+  shared_.loop.Bury(std::move(*in.list_position));
+  connections.erase(in.list_position);
 }
 
 void Front::Remove(Ingress& in, net::Reason reason) {
-  // The one place where the front itself ends a client's connection.
+  // The only place where the front itself closes a client's connection.
   const bool waits = in.ticket != 0 && (pending_.contains(in.ticket) || joined_.contains(in.ticket));
   if (!checks_.Check(core::Invariant::kAnsweredBeforeClose, !waits))
     log::Event(
         log::Level::kError, "invariant",
         {{"broken", "answered_before_close"}, {"client", net::ToText(in.peer)}, {"end", net::Code(reason)}});
   in.stream.Close(reason);
-  Gone(in);
+  OnDisconnected(in);
 }
 
 // ---- effects
 void Front::Execute(core::Effect& effect) {
-  if (auto* send = std::get_if<core::SendHop>(&effect)) return Do(*send);
-  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Do(*off);
-  if (auto* over = std::get_if<core::HopCompleted>(&effect)) return Do(*over);
-  if (auto* answer = std::get_if<core::Answer>(&effect)) return Do(*answer);
-  if (auto* probe = std::get_if<core::StartProbe>(&effect)) return Do(*probe);
+  if (auto* send = std::get_if<core::SendHop>(&effect)) return Perform(*send);
+  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Perform(*off);
+  if (auto* over = std::get_if<core::HopCompleted>(&effect)) return Perform(*over);
+  if (auto* answer = std::get_if<core::Answer>(&effect)) return Perform(*answer);
+  if (auto* probe = std::get_if<core::StartProbe>(&effect)) return Perform(*probe);
   if (std::holds_alternative<core::SubscribeRoutes>(effect)) return watch_.Start();
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
     return LogStormChange("http", storm->change, config_.classes);
-  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Do(*resume);
-  if (auto* settled = std::get_if<core::Settled>(&effect)) return Do(*settled);
-  if (std::holds_alternative<core::Drained>(effect)) LogStop("drained");
+  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Perform(*resume);
+  if (auto* settled = std::get_if<core::Settled>(&effect)) return Perform(*settled);
+  if (std::holds_alternative<core::Drained>(effect)) LogStopState("drained");
   if (std::holds_alternative<core::Drained>(effect)) driver_.WhenStored([this](bool) { drained_(); });
 }
 
-void Front::ApplyAdvice(const cluster::TargetAdvice& hint) {
-  if (hint.kind == cluster::FactKind::kStarted) {
-    // A start that lies ahead is nobody's sight: such a target would be cold for ever.
-    if (hint.since > shared_.loop.Now() + kClocksMay) return;
-    auto change = routes_.Started(hint.target, hint.since, {shared_.loop.Now(), net::Loop::WallClock()});
+void Front::ApplyAdvice(const cluster::TargetAdvice& advice) {
+  if (advice.kind == cluster::FactKind::kStarted) {
+    // A start time in the future cannot have been observed; with it the target would stay in slow start for
+    // ever.
+    if (advice.since > shared_.loop.Now() + kMaxClockDifference) return;
+    auto change = routes_.Started(advice.target, advice.since, {shared_.loop.Now(), net::Loop::WallClock()});
     if (change && watch_.usable()) driver_.Post(std::move(*change));
     return;
   }
-  const auto* route = routes_.Find(hint.target);
-  if (route != nullptr && hint.kind == cluster::FactKind::kLoad)
-    return driver_.Post(core::GossipedLoad{hint.target, cluster::ToReport(hint), hint.age});
+  const auto* route = routes_.Find(advice.target);
+  if (route != nullptr && advice.kind == cluster::FactKind::kLoad)
+    return driver_.Post(core::GossipedLoad{advice.target, cluster::ToReport(advice), advice.age});
   if (route != nullptr && route->state == pebblenotch::WorkerState::kReady)
-    driver_.Post(core::TargetSuspected{hint.target});
+    driver_.Post(core::TargetSuspected{advice.target});
 }
 
-// Guards a target that is cold, and that nobody can say so of, against the traffic of a warm one.
-void Front::Dialled(core::TargetId target, bool came_up) {
+// Detects restarts that nothing else reports, so that a restarted target gets slow start instead of full
+// traffic.
+void Front::OnDialEnded(core::TargetId target, bool came_up) {
   const Micros now = shared_.loop.Now();
   if (!came_up) return restarts_.Refused(target, now);
   if (!restarts_.CameUp(target, watch_.heard_at())) return;
@@ -439,7 +446,7 @@
   if (watch_.usable()) driver_.Post(std::move(*change));
 }
 
-// Of targets that started of late; the others' start is known to all.
+// Publishes the recent starts of targets; earlier ones are known to all schedulers.
 void Front::PublishObservations(const core::RoutesChanged& change) {
   if (!observation_sink_) return;
   for (const auto& entry : change.entries) {
@@ -461,42 +468,42 @@
   if (observation_sink_ && report) observation_sink_(cluster::LoadObservation(target, *report));
 }
 
-void Front::Do(core::Answer& e) {
+void Front::Perform(core::Answer& e) {
   const auto it = pending_.find(e.request);
   if (it == pending_.end()) return;
-  Ingress* from = it->second.from;
+  Ingress* client = it->second.client;
   const std::string id = std::move(it->second.id);
   pending_bytes_ -= it->second.message.size();
   pending_.erase(it);
-  if (from == nullptr) return;
-  Ingress& in = *from;
+  if (client == nullptr) return;
+  Ingress& in = *client;
   LogFinalAnswer(id, e.kind);
   switch (e.kind) {
     case core::AnswerKind::kServed:
-      return in.Answer(200, {}, e.result);
+      return in.Respond(200, {}, e.result);
     case core::AnswerKind::kShed: {
       Headers headers;
       if (e.retry_after > 0) headers.emplace_back("Retry-After", FormatSeconds(e.retry_after));
-      return in.Answer(503, headers, "shed\n");
+      return in.Respond(503, headers, "shed\n");
     }
     case core::AnswerKind::kFailed:
-      return in.Answer(502, {}, "failed\n");
+      return in.Respond(502, {}, "failed\n");
     case core::AnswerKind::kRejected:
-      return in.Answer(400, {}, "a worker could not use the request\n");
+      return in.Respond(400, {}, "a worker could not use the request\n");
   }
 }
 
-std::optional<pebblenotch::Report> Front::ReadLoad(std::string_view text) const {
+std::optional<pebblenotch::Report> Front::ParseLoad(std::string_view text) const {
   return ToReport(ParsePairs(text));
 }
 
-// Values under the settings' names or the sockets', in the settings' order.
+// Builds a report in the order of the settings from values under either their HTTP or their settings names.
 std::optional<pebblenotch::Report> Front::ToReport(const std::map<std::string, double>& values) const {
   pebblenotch::wire::Metrics metrics;
   bool any = false;
   for (const std::string& field : config_.load_fields) {
     if (metrics.count == pebblenotch::wire::kMaxMetrics) break;
-    auto it = values.find(OnSockets(field));
+    auto it = values.find(WireFieldName(field));
     if (it == values.end()) it = values.find(field);
     any = any || it != values.end();
     metrics.values[metrics.count++] = it == values.end() ? NAN : static_cast<float>(it->second);
@@ -511,12 +518,12 @@
   LogInvariantViolations("http", invariants());
   log::Event(log::Level::kInfo, "counters",
              {{"front", "http", true},
-              {"news", news_},
-              {"turned_away", turned_away_},
+              {"news", callbacks_},
+              {"turned_away", not_admitted_},
               {"malformed", malformed_},
               {"ingress", connection_count_},
-              {"made_room", made_room_},
-              {"longest_full_ms", longest_full_ / 1000},
+              {"made_room", evicted_},
+              {"longest_full_ms", longest_full_time_ / 1000},
               {"egress", egress_.connections()},
               {"buffers", shared_.pool.in_use()},
               {"paced", listener_.paced()}});
--- a/src/fronts/http/header_values.h
+++ b/src/fronts/http/header_values.h
@@ -1,4 +1,4 @@
-// Values as headers and reports write them, and the headers that pass on to a target.
+// Parsing of numbers in headers and load reports, and the list of headers forwarded to targets.
 #ifndef HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
 #define HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
 
@@ -11,10 +11,11 @@
 
 namespace heronway::http {
 
+// Headers of a client's request that a hop carries on to its target.
 inline constexpr const char* kForwardedHeaders[] = {"Idempotency-Key", "Req-Key", "Req-Extra", "Req-Retry",
                                                     "Content-Type"};
 
-// The whole text as a number; nothing where it is none, or not finite.
+// Parses the entire text as a number. Returns nullopt if it is not one or is not finite.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T value{};
@@ -29,7 +30,7 @@
   return value;
 }
 
-// "a=1,b=2" to its pairs; what is not a number is passed over.
+// Parses "a=1,b=2" into name-value pairs, skipping entries whose value is not a number.
 inline std::map<std::string, double> ParsePairs(std::string_view text) {
   std::map<std::string, double> out;
   while (!text.empty()) {
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -1,5 +1,6 @@
-// A client's, or a target's, connection to the HTTP front: reads messages, one in service at a time, and
-// bounds what a poor link or a bad client may hold. Internal to the front.
+// One accepted connection of the HTTP front, from a client or from a target that sends callbacks. Processes
+// one message at a time and limits the time and memory that slow or misbehaving peers can use. Internal to
+// the front.
 #ifndef HERONWAY_FRONTS_HTTP_INGRESS_H_
 #define HERONWAY_FRONTS_HTTP_INGRESS_H_
 
@@ -14,9 +15,11 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
+// Logs one step of a hop at level debug. `hop`: index of the hop; -1 for a callback.
 void LogHop(std::string_view id, int hop, std::string_view to, std::string_view step);
 
-inline constexpr std::size_t kMostAhead = 16 * 1024;  // bytes of a next request that may wait for an answer
+inline constexpr std::size_t kMaxPipelinedBytes =
+    16 * 1024;  // Bytes of pipelined requests that may be buffered while a request is in service.
 
 struct Front::Ingress : net::Stream::Owner, std::enable_shared_from_this<Front::Ingress> {
   Ingress(Front& owner, int fd, const net::Address& from)
@@ -24,158 +27,168 @@
         reader(HTTP_REQUEST, kMaxBodyBytes),
         timer(owner.shared_.loop, [this] { OnTimer(); }),
         stream(owner.shared_, fd, "ingress " + net::ToText(from), *this),
-        since(owner.shared_.loop.Now()),
+        connected_at(owner.shared_.loop.Now()),
         peer(from) {
-    // Not started anew by the bytes that come: a request sent byte by byte must not hold its connection.
+    // Not restarted by incoming data: a request sent byte by byte must not keep its connection open.
     timer.Start(kFirstRequestTime);
   }
 
   void OnData(std::string_view bytes) override {
-    if (spilling) {  // what else comes, once it was told that no more is read, is passed over within bounds
-      spilled += bytes.size();
-      if (spilled > kMostSpilled) front.Remove(*this, net::Reason::kTooLarge);
+    if (discarding) {  // further input after the final response is discarded, up to a limit
+      discarded_bytes += bytes.size();
+      if (discarded_bytes > kMaxDiscardedBytes) front.Remove(*this, net::Reason::kTooLarge);
       return;
     }
     if (ticket != 0 || closing) {
-      // A next request before the answer: it waits. Where more comes than may wait, the connection is not
-      // read until there is room: ended, it would take the answer to the first with it.
-      ahead.append(bytes);
-      ahead_came = front.shared_.loop.Now();
-      if (ahead.size() > kMostAhead) stream.PauseReading(true);
+      // A pipelined request is buffered until the current one has its response. Beyond the limit, reading is
+      // paused rather than the connection closed, which would lose the response to the current request.
+      pipelined.append(bytes);
+      pipelined_received_at = front.shared_.loop.Now();
+      if (pipelined.size() > kMaxPipelinedBytes) stream.PauseReading(true);
     } else {
-      came = front.shared_.loop.Now() - stream.SinceLastCame();
+      received_at = front.shared_.loop.Now() - stream.SinceLastCame();
       Feed(bytes);
     }
-    if (stream.open()) front.Settle(*this);
+    if (stream.open()) front.UpdateStage(*this);
   }
 
   void Feed(std::string_view bytes) {
-    while (!bytes.empty() && stream.open() && !spilling) {
+    while (!bytes.empty() && stream.open() && !discarding) {
       if (ticket != 0 || closing) {
-        ahead.assign(bytes);
+        pipelined.assign(bytes);
         return;
       }
       std::size_t used = 0;
-      const bool fresh = !reader.begun();
+      const bool new_message = !reader.started();
       const ParseState state = reader.Feed(bytes, used);
       bytes.remove_prefix(std::min(used, bytes.size()));
       if (state == ParseState::kComplete) {
         timer.Stop();
         Message message = reader.TakeMessage();
         keep_alive = message.keep_alive;
-        whole = true;
-        ahead.assign(bytes);  // served from the loop, once this one has its answer
-        return front.Serve(*this, std::move(message), bytes);
+        had_request = true;
+        pipelined.assign(bytes);  // processed from the event loop once this request has its response
+        return front.Dispatch(*this, std::move(message), bytes);
       } else if (state == ParseState::kIncomplete) {
-        if (whole && fresh && reader.begun()) timer.Start(kRequestTime);
-        if (reader.head_done() && reader.message().expects_continue && !std::exchange(continued, true))
+        if (had_request && new_message && reader.started()) timer.Start(kRequestTime);
+        if (reader.headers_complete() && reader.message().expects_continue &&
+            !std::exchange(continue_sent, true))
           stream.Write("HTTP/1.1 100 Continue\r\n\r\n");
-        // Guards memory against many that bring in large bodies at once, and never the last byte.
-        if (front.incoming_bytes_ + reader.message().size() > front.budget_.incoming_bytes + counted)
-          return Spoilt(503, "too much is coming in\n");
+        // Limits the memory of many large bodies that are received at once and never completed.
+        if (front.incoming_bytes_ + reader.message().size() > front.budget_.incoming_bytes + counted_bytes)
+          return RejectAndDiscard(503, "too much is coming in\n");
         return;
       } else {
-        return Spoilt(state == ParseState::kBodyTooLarge   ? 413
-                      : state == ParseState::kHeadTooLarge ? 431
-                                                           : 400,
-                      {});
+        return RejectAndDiscard(state == ParseState::kBodyTooLarge   ? 413
+                                : state == ParseState::kHeadTooLarge ? 431
+                                                                     : 400,
+                                {});
       }
     }
   }
 
-  // Answers a message that is not read to its end, and takes nothing more from its connection.
-  void Spoilt(unsigned status, std::string_view why) {
+  // Responds to a message that is not read to its end and discards all further input of the connection.
+  void RejectAndDiscard(unsigned status, std::string_view why) {
     ++front.malformed_;
-    spilling = true;
-    reader.Drop();
-    ahead.clear();
+    discarding = true;
+    reader.Discard();
+    pipelined.clear();
     keep_alive = false;
-    Answer(status, {}, why);
+    Respond(status, {}, why);
   }
 
-  void Answer(unsigned status, Headers headers, std::string_view body) {
+  void Respond(unsigned status, Headers headers, std::string_view body) {
     ticket = 0;
-    continued = false;
+    continue_sent = false;
     served = served || status == 200;
-    // What a client does wrong it mostly does again, or it stays and says no more: its connection is not
-    // kept.
-    // A planned stop announces the end; a request that is here already is served before that.
-    const bool last = front.closing_ && ahead.empty() && stream.Peek() != net::Stream::Unread::kBytes;
+    // A client that made an error usually repeats it or stays silent, so its connection is closed. During a
+    // graceful shutdown the response announces the close, unless another request has already arrived; that
+    // one is served first.
+    const bool last =
+        front.closing_idle_ && pipelined.empty() && stream.Peek() != net::Stream::Unread::kBytes;
     if (status / 100 == 4 || last) keep_alive = false;
     closing = !keep_alive;
-    timer.Start(kReadTime);
+    timer.Start(kResponseReadTime);
     stream.Write(FormatResponse(status, keep_alive, headers, body));
-    if (stream.open()) front.Settle(*this);
+    if (stream.open()) front.UpdateStage(*this);
   }
 
   void OnSent() override {
-    // Guards the answer against what the client is still sending, or has sent ahead: a close over bytes that
-    // are not read resets the connection, and the answer is lost with it.
-    if (spilling || (closing && ticket == 0)) {
-      spilling = true;
-      reader.Drop();
-      ahead.clear();
+    // Closing a connection with unread data resets it, and the response would be lost. Therefore only the
+    // write side is closed here and remaining input is discarded.
+    if (discarding || (closing && ticket == 0)) {
+      discarding = true;
+      reader.Discard();
+      pipelined.clear();
       stream.FinishWriting(net::Reason::kAnswered);
-      timer.Start(kLinger);
-      return front.Settle(*this);
+      timer.Start(kLingerTime);
+      return front.UpdateStage(*this);
     }
-    if (ticket != 0 || reader.begun()) return;
-    timer.Start(served ? kIdleTime : kTurnedAwayTime);
-    // What came ahead is served from the loop: from here the caller may be amid an answer.
-    if (!ahead.empty()) timer.Start(0);
-    front.Settle(*this);
+    if (ticket != 0 || reader.started()) return;
+    timer.Start(served ? kIdleTime : kUnservedIdleTime);
+    // Pipelined requests are processed from the event loop, because the caller may still be writing a
+    // response.
+    if (!pipelined.empty()) timer.Start(0);
+    front.UpdateStage(*this);
   }
 
-  void OnEnd(net::Reason) override { front.Gone(*this); }
+  void OnEnd(net::Reason) override { front.OnDisconnected(*this); }
 
   void OnTimer() {
-    if (!ahead.empty() && ticket == 0 && stream.all_sent()) {
-      if (ahead.size() > kMostAhead) stream.PauseReading(false);
-      came = ahead_came;
-      Feed(std::exchange(ahead, {}));
-      if (stream.open()) front.Settle(*this);
+    if (!pipelined.empty() && ticket == 0 && stream.all_sent()) {
+      if (pipelined.size() > kMaxPipelinedBytes) stream.PauseReading(false);
+      received_at = pipelined_received_at;
+      Feed(std::exchange(pipelined, {}));
+      if (stream.open()) front.UpdateStage(*this);
       return;
     }
     if (!stream.all_sent()) return front.Remove(*this, net::Reason::kSlowReader);
-    if (spilling) return front.Remove(*this, net::Reason::kAnswered);
-    // It came in time, the rest of what has begun as well, and only was not read yet.
-    const bool begun = reader.begun();
-    bool any_came = false;
+    if (discarding) return front.Remove(*this, net::Reason::kAnswered);
+    // Reads data that arrived before the timeout but has not been read yet, including the rest of a started
+    // request.
+    const bool started = reader.started();
+    bool any_data = false;
     while (stream.open() && !timer.running() && ticket == 0 && stream.ReadWaiting()) {
-      any_came = true;
-      if (!begun) break;
+      any_data = true;
+      if (!started) break;
     }
     if (!stream.open() || timer.running() || ticket != 0) return;
-    if (begun) return Spoilt(408, "the request took too long\n");
-    if (any_came) return timer.Start(whole ? kRequestTime : 0);
+    if (started) return RejectAndDiscard(408, "the request took too long\n");
+    if (any_data) return timer.Start(had_request ? kRequestTime : 0);
     front.Remove(*this, net::Reason::kIdle);
   }
 
   Stage stage() const {
     if (ticket != 0 || !stream.all_sent()) return Stage::kBusy;
-    if (spilling) return Stage::kTurnedAway;
-    if (!whole) return Stage::kFresh;
-    if (reader.begun() || !ahead.empty()) return Stage::kComing;
-    return served ? Stage::kKept : Stage::kTurnedAway;
+    if (discarding) return Stage::kUnserved;
+    if (!had_request) return Stage::kNew;
+    if (reader.started() || !pipelined.empty()) return Stage::kReceiving;
+    return served ? Stage::kKeptAlive : Stage::kUnserved;
   }
 
   Front& front;
   MessageParser reader;
-  net::Timer timer;  // idling, receiving, or being read; stopped while a request is in service
+  // Limits idling, receiving a request, or the peer reading a response; stopped while a request is in
+  // service.
+  net::Timer timer;
   net::Stream stream;
-  Micros since;                     // when it connected
-  Micros came = 0, ahead_came = 0;  // when the last bytes reached this machine: of what is read, of `ahead`
+  Micros connected_at;
+  Micros received_at = 0, pipelined_received_at =
+                              // When the last bytes reached this machine: of the current message, and of
+                          // `pipelined`.
+                          0;
   net::Address peer;
   core::Ticket ticket = 0;
-  bool keep_alive = true, closing = false, continued = false;
-  bool spilling = false;               // nothing more of it is read as a request, or written
-  bool left = false;                   // it is in no list any more
-  bool whole = false, served = false;  // it has sent a whole request; it has had a 200
-  std::string ahead;
-  std::size_t spilled = 0, counted = 0;  // `counted`: its part of the front's incoming bytes
-  Stage placed = Stage::kFresh;
-  Micros placed_at = since;
-  Places::iterator place;
+  bool keep_alive = true, closing = false, continue_sent = false;
+  bool discarding = false;                   // further input is discarded; nothing more is written
+  bool removed = false;                      // removed from the front's lists
+  bool had_request = false, served = false;  // has sent a complete request; has received a 200
+  std::string pipelined;
+  std::size_t discarded_bytes = 0,
+              counted_bytes = 0;  // `counted_bytes`: its share of the front's incoming_bytes_
+  Stage listed_stage = Stage::kNew;
+  Micros stage_since = connected_at;
+  ConnectionList::iterator list_position;
 };
 
 }  // namespace heronway::http
--- a/src/fronts/http/message.cpp
+++ b/src/fronts/http/message.cpp
@@ -27,7 +27,8 @@
   return sum;
 }
 
-MessageParser::MessageParser(http_parser_type type, std::size_t most_body) : most_body_(most_body) {
+MessageParser::MessageParser(http_parser_type type, std::size_t max_body_bytes)
+    : max_body_bytes_(max_body_bytes) {
   http_parser_init(&parser_, type);
   parser_.data = this;
 }
@@ -40,13 +41,13 @@
     s.on_url = OnUrl;
     s.on_header_field = OnField;
     s.on_header_value = OnValue;
-    s.on_headers_complete = OnHeadDone;
+    s.on_headers_complete = OnHeadersComplete;
     s.on_body = OnBody;
-    s.on_message_complete = OnWhole;
+    s.on_message_complete = OnMessageComplete;
     return s;
   }();
   used = http_parser_execute(&parser_, &settings, bytes.data(), bytes.size());
-  if (whole_) return ParseState::kComplete;
+  if (complete_) return ParseState::kComplete;
   if (fault_ != ParseState::kIncomplete) return fault_;
   if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return ParseState::kMalformed;
   if (parser_.upgrade != 0) return ParseState::kMalformed;
@@ -59,18 +60,18 @@
 }
 
 Message MessageParser::TakeMessage() {
-  begun_ = head_done_ = whole_ = in_value_ = false;
+  started_ = headers_complete_ = complete_ = in_value_ = false;
   head_bytes_ = 0;
   if (HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED) http_parser_pause(&parser_, 0);
   return std::exchange(message_, {});
 }
 
-void MessageParser::Drop() {
-  begun_ = head_done_ = whole_ = false;
+void MessageParser::Discard() {
+  started_ = headers_complete_ = complete_ = false;
   message_ = {};
 }
 
-bool MessageParser::Count(std::size_t n) {
+bool MessageParser::CountHeadBytes(std::size_t n) {
   head_bytes_ += n;
   if (head_bytes_ > kMaxHeadBytes) fault_ = ParseState::kHeadTooLarge;
   return head_bytes_ <= kMaxHeadBytes;
@@ -81,39 +82,40 @@
 }  // namespace
 
 int MessageParser::OnBegin(http_parser* p) {
-  Self(p).begun_ = true;
+  Self(p).started_ = true;
   return 0;
 }
 
 int MessageParser::OnUrl(http_parser* p, const char* at, std::size_t n) {
   Self(p).message_.target.append(at, n);
-  return Self(p).Count(n) ? 0 : 1;
+  return Self(p).CountHeadBytes(n) ? 0 : 1;
 }
 
 int MessageParser::OnField(http_parser* p, const char* at, std::size_t n) {
   MessageParser& r = Self(p);
-  if (r.head_done_) return r.Count(n) ? 0 : 1;  // a trailer: read over
+  if (r.headers_complete_) return r.CountHeadBytes(n) ? 0 : 1;  // ignores trailers
   if (r.message_.headers.empty() || std::exchange(r.in_value_, false)) r.message_.headers.emplace_back();
   r.message_.headers.back().first.append(at, n);
-  return r.Count(n + 4) ? 0 : 1;
+  return r.CountHeadBytes(n + 4) ? 0 : 1;
 }
 
 int MessageParser::OnValue(http_parser* p, const char* at, std::size_t n) {
   MessageParser& r = Self(p);
-  if (r.head_done_) return r.Count(n) ? 0 : 1;
+  if (r.headers_complete_) return r.CountHeadBytes(n) ? 0 : 1;
   r.in_value_ = true;
   r.message_.headers.back().second.append(at, n);
-  return r.Count(n) ? 0 : 1;
+  return r.CountHeadBytes(n) ? 0 : 1;
 }
 
-int MessageParser::OnHeadDone(http_parser* p) {
+int MessageParser::OnHeadersComplete(http_parser* p) {
   MessageParser& r = Self(p);
-  r.head_done_ = true;
+  r.headers_complete_ = true;
   r.message_.status = p->status_code;
   if (p->type == HTTP_REQUEST) {
     r.message_.method = http_method_str(static_cast<http_method>(p->method));
     const std::string* expect = r.message_.Find("Expect");
-    // Guards what passes on: two ways to tell where a body ends may hide another request in it.
+    // Prevents request smuggling: with two ways to determine where the body ends, a body could contain
+    // another request.
     const std::string* coding = r.message_.Find("Transfer-Encoding");
     if (r.message_.Count("Content-Length") > 1 || r.message_.Count("Transfer-Encoding") > 1 ||
         (coding != nullptr &&
@@ -123,7 +125,7 @@
     }
     r.message_.expects_continue = expect != nullptr && strcasecmp(expect->c_str(), "100-continue") == 0;
   }
-  if ((p->flags & F_CONTENTLENGTH) != 0 && p->content_length > r.most_body_) {
+  if ((p->flags & F_CONTENTLENGTH) != 0 && p->content_length > r.max_body_bytes_) {
     r.fault_ = ParseState::kBodyTooLarge;
     return -1;
   }
@@ -132,7 +134,7 @@
 
 int MessageParser::OnBody(http_parser* p, const char* at, std::size_t n) {
   MessageParser& r = Self(p);
-  if (r.message_.body.size() + n > r.most_body_) {
+  if (r.message_.body.size() + n > r.max_body_bytes_) {
     r.fault_ = ParseState::kBodyTooLarge;
     return 1;
   }
@@ -140,34 +142,34 @@
   return 0;
 }
 
-int MessageParser::OnWhole(http_parser* p) {
+int MessageParser::OnMessageComplete(http_parser* p) {
   MessageParser& r = Self(p);
-  if (p->type == HTTP_RESPONSE && p->status_code / 100 == 1) {  // an interim answer: the real one follows
+  if (p->type == HTTP_RESPONSE && p->status_code / 100 == 1) {  // interim response; the final one follows
     r.TakeMessage();
     return 0;
   }
   r.message_.keep_alive = http_should_keep_alive(p) != 0;
-  r.whole_ = true;
+  r.complete_ = true;
   http_parser_pause(p, 1);
   return 0;
 }
 
 namespace {
 
-const char* Phrase(unsigned status) {
+const char* ReasonPhrase(unsigned status) {
   switch (status) {
-#define HERONWAY_PHRASE(code, name, text) \
-  case code:                              \
+#define HERONWAY_REASON_PHRASE(code, name, text) \
+  case code:                                     \
     return #text;
-    HTTP_STATUS_MAP(HERONWAY_PHRASE)
-#undef HERONWAY_PHRASE
+    HTTP_STATUS_MAP(HERONWAY_REASON_PHRASE)
+#undef HERONWAY_REASON_PHRASE
     default:
       return "Unknown";
   }
 }
 
-void Finish(std::string& out, const std::vector<std::pair<std::string, std::string>>& headers,
-            std::string_view body) {
+void AppendHeadersAndBody(std::string& out, const std::vector<std::pair<std::string, std::string>>& headers,
+                          std::string_view body) {
   for (const auto& [field, value] : headers) out.append(field).append(": ").append(value).append("\r\n");
   out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n").append(body);
 }
@@ -177,9 +179,9 @@
 std::string FormatResponse(unsigned status, bool keep_alive,
                            const std::vector<std::pair<std::string, std::string>>& headers,
                            std::string_view body) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + " " + Phrase(status) + "\r\n";
+  std::string out = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n";
   if (!keep_alive) out.append("Connection: close\r\n");
-  Finish(out, headers, body);
+  AppendHeadersAndBody(out, headers, body);
   return out;
 }
 
@@ -188,7 +190,7 @@
                           std::string_view body) {
   std::string out;
   out.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-  Finish(out, headers, body);
+  AppendHeadersAndBody(out, headers, body);
   return out;
 }
 
