--- a/src/fronts/console/console.cpp
+++ b/src/fronts/console/console.cpp
@@ -4,8 +4,8 @@
 
 namespace heronway::console {
 
-struct Console::Caller : net::Stream::Owner {
-  Caller(Console& owner, int fd, const net::Address& from)
+struct Console::Connection : net::Stream::Owner {
+  Connection(Console& owner, int fd, const net::Address& from)
       : console(owner),
         reader(HTTP_REQUEST, kMaxRequestBytes),
         timer(owner.shared_.loop,
@@ -15,7 +15,8 @@
                                                           : net::Reason::kSlowReader);
               }),
         stream(owner.shared_, fd, "console " + net::ToText(from), *this) {
-    timer.Start(kRequestTime);  // not started anew by what comes: a call sent byte by byte must not hold it
+    // Not restarted by incoming data: a request sent byte by byte must not keep its connection open.
+    timer.Start(kRequestTime);
   }
 
   void OnData(std::string_view bytes) override {
@@ -26,13 +27,13 @@
     answered = true;
     Response response{400, "not a call\n"};
     if (state == http::ParseState::kComplete) response = console.handler_(reader.TakeMessage());
-    timer.Start(kRequestTime);  // for the answer to be read
+    timer.Start(kRequestTime);  // for the client to read the response
     stream.Write(http::FormatResponse(response.status, false, {}, response.body));
   }
   void OnSent() override {
     if (!answered) return;
-    // Guards the answer against what came behind the call: a close over bytes that are not read resets the
-    // connection. The caller ends it, or the timer does.
+    // Closing a connection with unread data would reset it and lose the response. The client closes it, or
+    // the timer does.
     stream.FinishWriting(net::Reason::kAnswered);
     timer.Start(kRequestTime);
   }
@@ -42,40 +43,40 @@
   http::MessageParser reader;
   net::Timer timer;
   net::Stream stream;
-  bool answered = false, gone = false;
-  std::list<std::shared_ptr<Caller>>::iterator place;
+  bool answered = false, removed = false;
+  std::list<std::shared_ptr<Connection>>::iterator list_position;
 };
 
 Console::Console(net::Shared& shared, const net::Address& at, Handler handler)
     : shared_(shared),
       handler_(std::move(handler)),
       listener_(
-          shared.loop, at, {}, [this](bool must) { return MakeRoom(must); },
-          [this](int fd, const net::Address& from) { Accepted(fd, from); }) {}
+          shared.loop, at, {}, [this](bool must) { return FreeConnection(must); },
+          [this](int fd, const net::Address& from) { OnAccepted(fd, from); }) {}
 
 Console::~Console() {
-  while (!callers_.empty()) Remove(*callers_.front(), net::Reason::kShutdown);
+  while (!connections_.empty()) Remove(*connections_.front(), net::Reason::kShutdown);
 }
 
-// Guards the console's budget: a newcomer ends the oldest caller, which has had the longest to say its call.
-bool Console::MakeRoom(bool must) {
-  if (!must && callers_.size() < kMaxConnections) return true;
-  if (callers_.empty()) return false;
-  Remove(*callers_.front(), net::Reason::kMakeRoom);
+// Closes the oldest connection for a new one if all are in use: it had the most time to send its request.
+bool Console::FreeConnection(bool must) {
+  if (!must && connections_.size() < kMaxConnections) return true;
+  if (connections_.empty()) return false;
+  Remove(*connections_.front(), net::Reason::kMakeRoom);
   return true;
 }
 
-void Console::Accepted(int fd, const net::Address& from) {
-  callers_.push_back(std::make_shared<Caller>(*this, fd, from));
-  callers_.back()->place = std::prev(callers_.end());
+void Console::OnAccepted(int fd, const net::Address& from) {
+  connections_.push_back(std::make_shared<Connection>(*this, fd, from));
+  connections_.back()->list_position = std::prev(connections_.end());
 }
 
-void Console::Remove(Caller& caller, net::Reason reason) {
-  if (std::exchange(caller.gone, true)) return;
-  caller.timer.Stop();
-  if (caller.stream.open()) caller.stream.Close(reason);
-  shared_.loop.Bury(std::move(*caller.place));
-  callers_.erase(caller.place);
+void Console::Remove(Connection& connection, net::Reason reason) {
+  if (std::exchange(connection.removed, true)) return;
+  connection.timer.Stop();
+  if (connection.stream.open()) connection.stream.Close(reason);
+  shared_.loop.Bury(std::move(*connection.list_position));
+  connections_.erase(connection.list_position);
 }
 
 }  // namespace heronway::console
--- a/src/fronts/console/console.h
+++ b/src/fronts/console/console.h
@@ -1,6 +1,5 @@
-// The operators' console: a second address where staff ask for readiness and metrics, and drain the
-// scheduler or take it back into service. HTTP/1.1, one call a connection. It answers from what is held,
-// at once, and decides nothing: the caller's `Handler` does, on the front and the reducer.
+// The operators' console: an HTTP/1.1 server on its own address for readiness, metrics and draining, with one
+// request per connection. Requests are answered at once by the `Handler` that the owner passes in.
 #ifndef HERONWAY_FRONTS_CONSOLE_CONSOLE_H_
 #define HERONWAY_FRONTS_CONSOLE_CONSOLE_H_
 
@@ -17,26 +16,30 @@
 
 using net::Micros;
 
+// Response to an operator's request.
 struct Response {
   unsigned status = 404;
   std::string body;
 };
 
+// The console's listener and connections.
 class Console {
  public:
-  using Handler = std::function<Response(const http::Message& call)>;
+  // Called for each complete request; returns its response.
+  using Handler = std::function<Response(const http::Message& request)>;
 
-  // Descriptors that the console may hold at once, its listener left out; taken off the clients' share.
+  // Maximum number of open connections. Their descriptors, and one for the listener, are reserved for the
+  // console.
   static constexpr std::size_t kMaxConnections = 8;
   std::size_t unused_connections() const {
-    return kMaxConnections - std::min(kMaxConnections, callers_.size());
+    return kMaxConnections - std::min(kMaxConnections, connections_.size());
   }
-  // For a call to come in whole from connecting. Guards callers that connect and say nothing: a usual
-  // caller waits 1 s for its answer, and does not wait for them.
+  // Microseconds from connecting until a request must be complete, and again for reading the response. Keeps
+  // silent connections from delaying others: clients usually wait 1 s for a response.
   static constexpr Micros kRequestTime = 500'000;
   static constexpr std::size_t kMaxRequestBytes = 4 * 1024;  // head and body
 
-  // Throws std::runtime_error where it cannot listen.
+  // Throws std::runtime_error if it cannot listen on `at`.
   Console(net::Shared& shared, const net::Address& at, Handler handler);
   ~Console();
   Console(const Console&) = delete;
@@ -44,14 +47,14 @@
   net::Address address() const { return listener_.address(); }
 
  private:
-  struct Caller;
-  bool MakeRoom(bool must);
-  void Accepted(int fd, const net::Address& from);
-  void Remove(Caller& caller, net::Reason reason);
+  struct Connection;
+  bool FreeConnection(bool must);
+  void OnAccepted(int fd, const net::Address& from);
+  void Remove(Connection& connection, net::Reason reason);
 
   net::Shared& shared_;
   Handler handler_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the oldest in front
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
   net::Listener listener_;
 };
 
--- a/src/fronts/console/endpoints.cpp
+++ b/src/fronts/console/endpoints.cpp
@@ -2,19 +2,20 @@
 
 namespace heronway::console {
 
-std::string FormatMetrics(const Metrics& f) {
+std::string FormatMetrics(const Metrics& metrics) {
   std::string out;
   const auto line = [&out](const std::string& name, std::uint64_t value) {
     out += "app." + name + "=" + std::to_string(value) + "\n";
   };
   std::uint64_t sends = 0;
-  if (f.counters != nullptr) {
-    const auto& by_class = f.counters->by_class;
-    const std::size_t named = f.classes != nullptr ? f.classes->size() : 0;
-    // Every class the settings name has its lines from the start, counted or not.
-    for (std::size_t c = 0; c < std::max(named, by_class.size()); ++c) {
+  if (metrics.counters != nullptr) {
+    const auto& by_class = metrics.counters->by_class;
+    const std::size_t configured = metrics.classes != nullptr ? metrics.classes->size() : 0;
+    // All configured classes are listed from the start, even without requests.
+    for (std::size_t c = 0; c < std::max(configured, by_class.size()); ++c) {
       const core::ClassCounts counts = c < by_class.size() ? by_class[c] : core::ClassCounts{};
-      const std::string name = "transactions." + (c < named ? (*f.classes)[c] : "class" + std::to_string(c));
+      const std::string name =
+          "transactions." + (c < configured ? (*metrics.classes)[c] : "class" + std::to_string(c));
       line(name + ".answered", counts.answered);
       line(name + ".deferred", counts.deferred);
       line(name + ".errored", counts.errored);
@@ -23,20 +24,20 @@
     }
   }
   line("sends", sends);
-  line("current", f.current);
-  line("cluster_size", f.cluster_size);
-  line("cluster_unhealthy", f.cluster_unhealthy);
-  line("conf_loaded", f.conf_loaded);
-  line("conf_invalid", f.conf_invalid);
+  line("current", metrics.current);
+  line("cluster_size", metrics.cluster_size);
+  line("cluster_unhealthy", metrics.cluster_unhealthy);
+  line("conf_loaded", metrics.conf_loaded);
+  line("conf_invalid", metrics.conf_invalid);
   for (std::size_t i = 0; i < core::kInvariantCount; ++i)
-    line(std::string("invariants.") + core::kInvariantNames[i], f.invariants.Violations(i));
-  for (const auto& [name, value] : f.fleet) line("fleet." + name, value);
+    line(std::string("invariants.") + core::kInvariantNames[i], metrics.invariants.Violations(i));
+  for (const auto& [name, value] : metrics.fleet) line("fleet." + name, value);
   return out;
 }
 
-Response HandleRequest(const http::Message& call, const Operations& operations) {
-  const std::string path = call.target.substr(0, call.target.find('?'));
-  const bool get = call.method == "GET", put = call.method == "PUT" || call.method == "POST";
+Response HandleRequest(const http::Message& request, const Operations& operations) {
+  const std::string path = request.target.substr(0, request.target.find('?'));
+  const bool get = request.method == "GET", put = request.method == "PUT" || request.method == "POST";
   if (path == "/v1/readyz") {
     if (!get) return {405, "use GET\n"};
     return operations.ready() ? Response{200, "ready\n"} : Response{503, "not ready\n"};
@@ -54,7 +55,7 @@
   if (path.starts_with("/v1/cluster") && !operations.members) return {404, "the cluster is off\n"};
   if (path == "/v1/cluster" || path == "/v1/cluster/members") {
     if (!get) return {405, "use GET\n"};
-    return {200, path == "/v1/cluster" ? operations.standing() : operations.members()};
+    return {200, path == "/v1/cluster" ? operations.cluster() : operations.members()};
   }
   if (path == "/v1/copies") {
     if (!operations.copies) return {404, "no copies are kept\n"};
--- a/src/fronts/console/endpoints.h
+++ b/src/fronts/console/endpoints.h
@@ -1,4 +1,4 @@
-// What the console's calls do and say, apart from any socket: the tests call it as the console does.
+// The console's HTTP endpoints, independent of sockets so that tests can call them directly.
 #ifndef HERONWAY_FRONTS_CONSOLE_ENDPOINTS_H_
 #define HERONWAY_FRONTS_CONSOLE_ENDPOINTS_H_
 
@@ -12,34 +12,37 @@
 
 namespace heronway::console {
 
-// The metrics, as `app.NAME=N` lines (docs/operators-console.md names each).
+// Values of the metrics page, written as `app.NAME=N` lines (described in docs/operators-console.md).
 struct Metrics {
-  const core::Counters* counters = nullptr;                       // of the reducer
-  const std::vector<std::string>* classes = nullptr;              // the module's class names, by index
-  std::size_t current = 0;                                        // requests taken and not ended
-  std::size_t cluster_size = 0;                                   // targets listed
-  std::size_t cluster_unhealthy = 0;                              // listed as ready, and drawn for nothing
-  std::uint64_t conf_loaded = 0, conf_invalid = 0;                // files taken and turned down at SIGHUP
-  core::Invariants invariants = {};                               // how often each was broken
-  std::vector<std::pair<std::string, std::uint64_t>> fleet = {};  // of the cluster, where it is on
+  const core::Counters* counters = nullptr;           // the reducer's counters
+  const std::vector<std::string>* classes = nullptr;  // class names by index
+  std::size_t current = 0;                            // requests accepted and not yet ended
+  std::size_t cluster_size = 0;                       // listed targets
+  std::size_t cluster_unhealthy = 0;                  // ready targets that no class would select
+  std::uint64_t conf_loaded = 0, conf_invalid = 0;    // configurations loaded and rejected on SIGHUP
+  core::Invariants invariants = {};                   // number of violations of each
+  std::vector<std::pair<std::string, std::uint64_t>> fleet = {};  // metrics of the cluster, if enabled
 };
+// Formats the metrics page.
 std::string FormatMetrics(const Metrics& metrics);
 
-// What the calls reach.
+// The functions behind the endpoints.
 struct Operations {
   std::function<bool()> ready;
-  std::function<void(bool on)> cordon;  // drain (true) or activate (false)
+  std::function<void(bool on)> cordon;  // drains (true) or activates (false) the scheduler
   std::function<Metrics()> metrics;
-  // Where the cluster is on; null: these calls are answered 404.
-  std::function<std::string()> standing = nullptr, members = nullptr;
+  // JSON texts and the leave order of the cluster. Without a cluster the texts are null, and the endpoints
+  // answer 404.
+  std::function<std::string()> cluster = nullptr, members = nullptr;
   std::function<void()> leave = nullptr;
-  std::function<std::string()> copies = nullptr;  // where copies are kept; null: answered 404
+  // JSON text; null without replication, and the endpoint answers 404
+  std::function<std::string()> copies = nullptr;
 };
 
-// GET /v1/readyz, GET /v1/metrics, PUT /v1/scheduler/drain, PUT /v1/scheduler/activate, GET /v1/cluster,
-// GET /v1/cluster/members, PUT /v1/cluster/leave, GET /v1/copies. Anything else: 404,
-// or 405 for a known path with another method. A query is passed over.
-Response HandleRequest(const http::Message& call, const Operations& operations);
+// Handles GET /v1/readyz, GET /v1/metrics, PUT /v1/scheduler/drain, PUT /v1/scheduler/activate, GET
+// /v1/cluster, GET /v1/cluster/members, PUT /v1/cluster/leave and GET /v1/copies. POST is accepted like PUT.
+// Other paths get 404, and known paths with another method 405. The query string is ignored.
+Response HandleRequest(const http::Message& request, const Operations& operations);
 
 }  // namespace heronway::console
 
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr Micros kLookupTimeout = 600'000;  // shorter than any shutdown grace period
-constexpr Micros kRetryAfter =
-    1'000'000;  // Retry-After for a client whose deadline expires before its job ends.
+// Retry-After for a client whose deadline expires before its job ends.
+constexpr Micros kRetryAfter = 1'000'000;
 
 }  // namespace
 
@@ -74,7 +74,7 @@
                   return RespondFromLookup(*client, result);
                 // The job may have arrived in the meantime from another client or scheduler.
                 if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
-                  return JoinJob(*client, message, std::string(*job), arrived.request.job_class);
+                  return Join(*client, message, std::string(*job), arrived.request.job_class);
                 if (reducer().IsKnown(arrived.id)) return client->Respond(409, {}, "Req-Id is in use\n");
                 Admit(*client, message, arrived, alias);
               });
@@ -91,7 +91,7 @@
                  : "another may have this job; come again by the same key\n");
 }
 
-void Front::JoinJob(Ingress& in, const Message& message, const std::string& id, int job_class) {
+void Front::Join(Ingress& in, const Message& message, const std::string& id, int job_class) {
   ++join_count_;
   if (reducer().ShedsAllArrivals(shared_.loop.Now()))
     return in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -172,7 +172,6 @@
 
 void Front::SetDiscoveryAddress(const net::Address& at) { watch_.MoveTo(at); }
 
-// ---- ingress
 void Front::OnAccepted(int fd, const net::Address& from) {
   OnIngressAvailable();
   auto& connections = InStage(Stage::kNew);
@@ -259,12 +258,12 @@
       }
     }
   }
-  for (const auto& fresh :
-       // a copy, because connections that are read or closed leave the list
-       ConnectionList(InStage(Stage::kNew))) {
-    if (fresh->removed || fresh->reader.started() || shared_.loop.Now() - fresh->connected_at <= kSilentTime)
+  // Iterates over a copy, because connections that are read or closed leave the list.
+  for (const auto& recent : ConnectionList(InStage(Stage::kNew))) {
+    if (recent->removed || recent->reader.started() ||
+        shared_.loop.Now() - recent->connected_at <= kSilentTime)
       continue;
-    if (!fresh->stream.ReadWaiting() && !fresh->removed) Remove(*fresh, net::Reason::kShutdown);
+    if (!recent->stream.ReadWaiting() && !recent->removed) Remove(*recent, net::Reason::kShutdown);
   }
   if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
     if (!std::exchange(rejecting_, true)) LogStopState("refusing");
@@ -277,9 +276,10 @@
 // process is killed. It is answered now instead.
 void Front::RejectIncomplete() {
   for (const Stage stage : {Stage::kNew, Stage::kReceiving}) {
-    for (const auto& coming : ConnectionList(InStage(stage))) {
-      if (coming->removed || !coming->reader.started() || coming->stream.ReadWaiting()) continue;
-      if (!coming->removed && coming->reader.started()) coming->RejectAndDiscard(503, "shutting down\n");
+    for (const auto& incomplete : ConnectionList(InStage(stage))) {
+      if (incomplete->removed || !incomplete->reader.started() || incomplete->stream.ReadWaiting()) continue;
+      if (!incomplete->removed && incomplete->reader.started())
+        incomplete->RejectAndDiscard(503, "shutting down\n");
     }
   }
   while (!joined_.empty()) AskToRetry(joined_.begin());
@@ -321,7 +321,7 @@
       {"started", core::CallbackState::kStarted},   {"running", core::CallbackState::kRunning},
       {"done", core::CallbackState::kDone},         {"failed", core::CallbackState::kFailed},
       {"returned", core::CallbackState::kReturned}, {"lost", core::CallbackState::kLost}};
-  const auto known = kStates.find(state);
+  const auto found = kStates.find(state);
   callback.id = root["id"].asString();
   auto from = routes_.IdOf(root["from"].asString());
   // After a crash, a callback may arrive before discovery has listed its sender.
@@ -334,12 +334,13 @@
     in.keep_alive = false;
     return in.Respond(503, {}, "not held here\n");
   }
-  const bool elsewhere = forward_report_ && known != kStates.end() && !reducer().IsPending(callback.id) &&
-                         reducer().keeper()->book().Find(callback.id) == nullptr;
-  if (elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
-  if (known == kStates.end() || !from) return in.Respond(200, {}, {});
+  const bool held_elsewhere = forward_report_ && found != kStates.end() &&
+                              !reducer().IsPending(callback.id) &&
+                              reducer().keeper()->book().Find(callback.id) == nullptr;
+  if (held_elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
+  if (found == kStates.end() || !from) return in.Respond(200, {}, {});
   callback.from = *from;
-  callback.state = known->second;
+  callback.state = found->second;
   LogHop(callback.id, -1, root["from"].asString(), state);
   if (root["share"].isNumeric()) callback.share = root["share"].asDouble();
   const Json::Value& result = root["result"];
@@ -361,7 +362,7 @@
     in.Respond(200, {}, {});
     return driver_.Post(std::move(callback));
   }
-  if (elsewhere) return ForwardCallback(in, callback);
+  if (held_elsewhere) return ForwardCallback(in, callback);
   // The worker may discard its result once it is stored, so the response waits for that.
   const int home = reducer().keeper()->HomeOf(callback.id);
   driver_.Post(std::move(callback));
@@ -392,8 +393,8 @@
 
 void Front::Remove(Ingress& in, net::Reason reason) {
   // The only place where the front itself closes a client's connection.
-  const bool waits = in.ticket != 0 && (pending_.contains(in.ticket) || joined_.contains(in.ticket));
-  if (!checks_.Check(core::Invariant::kAnsweredBeforeClose, !waits))
+  const bool unanswered = in.ticket != 0 && (pending_.contains(in.ticket) || joined_.contains(in.ticket));
+  if (!checks_.Check(core::Invariant::kAnsweredBeforeClose, !unanswered))
     log::Event(
         log::Level::kError, "invariant",
         {{"broken", "answered_before_close"}, {"client", net::ToText(in.peer)}, {"end", net::Code(reason)}});
@@ -401,17 +402,16 @@
   OnDisconnected(in);
 }
 
-// ---- effects
 void Front::Execute(core::Effect& effect) {
   if (auto* send = std::get_if<core::SendHop>(&effect)) return Perform(*send);
-  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Perform(*off);
-  if (auto* over = std::get_if<core::HopCompleted>(&effect)) return Perform(*over);
+  if (auto* cancel = std::get_if<core::CancelHop>(&effect)) return Perform(*cancel);
+  if (auto* completed = std::get_if<core::HopCompleted>(&effect)) return Perform(*completed);
   if (auto* answer = std::get_if<core::Answer>(&effect)) return Perform(*answer);
   if (auto* probe = std::get_if<core::StartProbe>(&effect)) return Perform(*probe);
   if (std::holds_alternative<core::SubscribeRoutes>(effect)) return watch_.Start();
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
     return LogStormChange("http", storm->change, config_.classes);
-  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Perform(*resume);
+  if (auto* round = std::get_if<core::StartRound>(&effect)) return Perform(*round);
   if (auto* settled = std::get_if<core::Settled>(&effect)) return Perform(*settled);
   if (std::holds_alternative<core::Drained>(effect)) LogStopState("drained");
   if (std::holds_alternative<core::Drained>(effect)) driver_.WhenStored([this](bool) { drained_(); });
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -132,7 +132,7 @@
   match::Service::Judgement EvaluateRules(const Ingress& in, const Message& message);
   void HandleCallback(Ingress& in, const Message& message);
   bool durable() const { return reducer().keeper() != nullptr; }
-  void JoinJob(Ingress& in, const Message& message, const std::string& job, int job_class);
+  void Join(Ingress& in, const Message& message, const std::string& job, int job_class);
   static durable::Task ToTask(const Message& message, const pebblenotch::Request& request, std::string alias);
   static std::string JobAlias(const std::string& class_name, const std::string& key);
   bool IsDurable(const Pending& pending) const;
--- a/src/fronts/http/hops.cpp
+++ b/src/fronts/http/hops.cpp
@@ -31,8 +31,8 @@
   if (it == pending_.end() || route == nullptr || route->state != pebblenotch::WorkerState::kReady)
     return false;
   if (!watch_.Valid()) return false;
-  const Ingress* from = it->second.client;  // null: a round of a durable job without a waiting client
-  return from == nullptr || !from->stream.PeerGone();
+  const Ingress* client = it->second.client;  // null: a round of a durable job without a waiting client
+  return client == nullptr || !client->stream.PeerGone();
 }
 
 // Formats the request to the target. Req-Deadline-Ms is the time left at the moment of sending.
@@ -90,7 +90,8 @@
     const auto* declined = answer.Find("Srv-Declined");
     if ((status == 503 || status == 504) && declined != nullptr && *declined == "1")
       ended.result = core::Result::kFull;
-    // A 4xx response blames the request: the hop does not count against the target's health.
+    // A 4xx response means that the request itself is at fault and was not run, so it does not count against
+    // the target's health.
     ended.rejected = status / 100 == 4;
     if (const auto* load = answer.Find("Srv-Load")) ended.report = ParseLoad(*load);
   }
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -18,9 +18,10 @@
 // Logs one step of a hop at level debug. `hop`: index of the hop; -1 for a callback.
 void LogHop(std::string_view id, int hop, std::string_view to, std::string_view step);
 
-inline constexpr std::size_t kMaxPipelinedBytes =
-    16 * 1024;  // Bytes of pipelined requests that may be buffered while a request is in service.
+// Bytes of pipelined requests that may be buffered while a request is in service.
+inline constexpr std::size_t kMaxPipelinedBytes = 16 * 1024;
 
+// A connection together with its protocol state. The front keeps it in the list of its stage.
 struct Front::Ingress : net::Stream::Owner, std::enable_shared_from_this<Front::Ingress> {
   Ingress(Front& owner, int fd, const net::Address& from)
       : front(owner),
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -112,7 +112,7 @@
   const std::string alias =
       durable() && idempotency != nullptr ? JobAlias(*job_class, *idempotency) : std::string();
   if (const auto* job = alias.empty() ? nullptr : reducer().keeper()->book().IdOf(alias); job != nullptr)
-    return JoinJob(in, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
+    return Join(in, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
   // Clients use a new id for each request. This protects a request whose hop may still be in flight, or that
   // was just answered, from another one with the same id.
   if (driver_.reducer().IsKnown(*id) || (durable() && reducer().keeper()->book().Find(*id) != nullptr))
--- a/src/fronts/log_reports.cpp
+++ b/src/fronts/log_reports.cpp
@@ -8,7 +8,7 @@
 namespace heronway {
 namespace {
 
-constexpr std::size_t kMostTold = 50;  // lines of one kind at a time
+constexpr std::size_t kMaxLines = 50;  // per event and report
 
 }  // namespace
 
@@ -21,8 +21,8 @@
 void LogStormChange(std::string_view front, const limits::StormChange& change,
                     const std::vector<std::string>& classes) {
   const auto& c = change.change;
-  const bool up = c.to == limits::StormState::kStorm || c.to == limits::StormState::kRising;
-  log::Event(up ? log::Level::kWarn : log::Level::kInfo, "storm",
+  const bool worsening = c.to == limits::StormState::kStorm || c.to == limits::StormState::kRising;
+  log::Event(worsening ? log::Level::kWarn : log::Level::kInfo, "storm",
              {{"front", front, true},
               {"scope", change.job_class < 0
                             ? std::string_view("all")
@@ -44,28 +44,30 @@
 void LogRuleHits(const match::Service* rules) {
   if (rules == nullptr) return;
   const match::Rules& r = rules->rules();
-  std::vector<std::uint32_t> hit;
+  std::vector<std::uint32_t> hit_rules;
   for (std::uint32_t i = 0; i < r.size(); ++i) {
-    if (r.hits(i) > 0) hit.push_back(i);
+    if (r.hits(i) > 0) hit_rules.push_back(i);
   }
-  std::stable_sort(hit.begin(), hit.end(), [&r](auto a, auto b) { return r.hits(a) > r.hits(b); });
-  for (std::size_t i = 0; i < std::min(hit.size(), kMostTold); ++i)
-    log::Event(log::Level::kInfo, "rule", {{"rule", r.NameOf(hit[i])}, {"hits", r.hits(hit[i])}});
-  log::Event(log::Level::kInfo, "rules", {{"rules", r.size()}, {"without_a_hit", r.size() - hit.size()}});
+  std::stable_sort(hit_rules.begin(), hit_rules.end(),
+                   [&r](auto a, auto b) { return r.hits(a) > r.hits(b); });
+  for (std::size_t i = 0; i < std::min(hit_rules.size(), kMaxLines); ++i)
+    log::Event(log::Level::kInfo, "rule", {{"rule", r.NameOf(hit_rules[i])}, {"hits", r.hits(hit_rules[i])}});
+  log::Event(log::Level::kInfo, "rules",
+             {{"rules", r.size()}, {"without_a_hit", r.size() - hit_rules.size()}});
 }
 
 void LogInvariantViolations(std::string_view front, const core::Invariants& invariants) {
-  const auto times = [&invariants](core::Invariant which) {
+  const auto violations = [&invariants](core::Invariant which) {
     return invariants.Violations(static_cast<std::size_t>(which));
   };
   log::Event(invariants.Violations() > 0 ? log::Level::kError : log::Level::kInfo, "invariants",
              {{"front", front, true},
-              {"one_attempt_out", times(core::Invariant::kOneHopInFlight)},
-              {"repeat_allowed", times(core::Invariant::kRetryAllowed)},
-              {"time_left", times(core::Invariant::kTimeLeft)},
-              {"slow_start_token", times(core::Invariant::kSlowStartToken)},
-              {"answered_before_close", times(core::Invariant::kAnsweredBeforeClose)},
-              {"answered_before_exit", times(core::Invariant::kAnsweredBeforeExit)}});
+              {"one_attempt_out", violations(core::Invariant::kOneHopInFlight)},
+              {"repeat_allowed", violations(core::Invariant::kRetryAllowed)},
+              {"time_left", violations(core::Invariant::kTimeLeft)},
+              {"slow_start_token", violations(core::Invariant::kSlowStartToken)},
+              {"answered_before_close", violations(core::Invariant::kAnsweredBeforeClose)},
+              {"answered_before_exit", violations(core::Invariant::kAnsweredBeforeExit)}});
 }
 
 void LogFinalAnswer(std::string_view id, core::AnswerKind kind) {
@@ -97,11 +99,11 @@
               {"hops_reset", c.hop_results[5]},
               {"hops_cancelled", c.hop_results[6]},
               {"hops_moot", c.hop_results[7]}});
-  // The busiest tenants by name, and the others together.
+  // The tenants with the most requests.
   std::vector<const core::TenantTable::Row*> tenants;
   for (const auto& row : reducer.tenants().rows()) tenants.push_back(&row);
   std::stable_sort(tenants.begin(), tenants.end(), [](auto* a, auto* b) { return a->taken > b->taken; });
-  for (std::size_t i = 0; i < std::min(tenants.size(), kMostTold) && tenants[i]->taken > 0; ++i) {
+  for (std::size_t i = 0; i < std::min(tenants.size(), kMaxLines) && tenants[i]->taken > 0; ++i) {
     const auto& t = *tenants[i];
     log::Event(log::Level::kInfo, "tenant",
                {{"front", front, true},
@@ -149,7 +151,7 @@
               {"held", keeper->book().Count(Place::kHeld)},
               {"in_hand", keeper->in_hand()},
               {"window", keeper->window()}});
-  if (driver.gate() == nullptr) return;  // another looks after these jobs now
+  if (driver.gate() == nullptr) return;  // another scheduler holds these jobs now
   const auto w = driver.gate()->writer().counts();
   log::Event(log::Level::kInfo, "store",
              {{"front", front, true},
--- a/src/fronts/log_reports.h
+++ b/src/fronts/log_reports.h
@@ -1,4 +1,4 @@
-// What both fronts tell the operators in the log.
+// Log events that both fronts write: counters, storm changes, rule hits and final answers.
 #ifndef HERONWAY_FRONTS_LOG_REPORTS_H_
 #define HERONWAY_FRONTS_LOG_REPORTS_H_
 
@@ -12,21 +12,21 @@
 
 namespace heronway {
 
-// A wait as clients are told it: seconds, to the millisecond.
+// Formats a wait for clients as seconds with three decimals.
 std::string FormatSeconds(core::Micros time);
-// A change of the storm's state, with the figures that caused it.
+// Logs a change of the storm state with the measurements that caused it. `classes`: names by class index.
 void LogStormChange(std::string_view front, const limits::StormChange& change,
                     const std::vector<std::string>& classes);
-// What each rule has decided, where there are any.
+// Logs the hits of the match rules; nothing if `rules` is null.
 void LogRuleHits(const match::Service* rules);
-// What the reducer has counted, and the limits where they are on.
-// How often each invariant was broken; an error where any was.
+// Logs how often each invariant was violated; at level error if any was.
 void LogInvariantViolations(std::string_view front, const core::Invariants& invariants);
-// The final answer of a request, at the level debug.
+// Logs the final answer of a request at level debug.
 void LogFinalAnswer(std::string_view id, core::AnswerKind kind);
+// Logs the counters of the reducer and, if they are enabled, of the limits.
 void LogRequestCounters(std::string_view front, const core::Reducer& reducer);
 
-// What the keeper of durable jobs and its store have counted, where there is one.
+// Logs the counters of the durable job manager and its store; nothing without durable jobs.
 void LogDurableCounters(std::string_view front, const net::Driver& driver);
 
 }  // namespace heronway
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -1,4 +1,4 @@
-// Descriptors and memory of the HTTP front, over all limits and all parts that may be on.
+// Descriptor budget of the HTTP front for all limits and all combinations of enabled parts.
 #include "src/fronts/http/budget.h"
 
 #include <gtest/gtest.h>
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::size_t kMemory = 64 * 1024 * 1024;
-constexpr std::size_t kMostOthers = 127;  // console, second front, cluster and copies
+constexpr std::size_t kMaxOthers = 127;  // console, second front, cluster and copies
 
-TEST(Budget, RequestsNeverTakeEveryConnection) {
+TEST(Budget, RequestsNeverUseEveryConnection) {
   for (std::size_t sockets = 64; sockets <= 4096; ++sockets) {
-    for (std::size_t others = 0; others <= kMostOthers; ++others) {
+    for (std::size_t others = 0; others <= kMaxOthers; ++others) {
       if (sockets < Budget::kOwnDescriptors + others + Budget::kMinEgress + Budget::kMinSpare + 1) continue;
       const Budget b = Budget::From(sockets, kMemory, others);
       ASSERT_EQ(Budget::kOwnDescriptors + others + b.egress + b.ingress, sockets);
@@ -24,16 +24,16 @@
   }
 }
 
-// What the fault rig's members have: before, 75 of 75 connections could be requests.
-TEST(Budget, WithEveryPartOnAThirdOfTheSocketsServesRequests) {
+// The limits of the fault rig's members. Guards against requests using every connection (formerly 75 of 75).
+TEST(Budget, AThirdOfTheSocketsServesRequestsWithAllPartsEnabled) {
   const Budget b = Budget::From(256, kMemory, 25 + 9 + 18 + 49);
   EXPECT_GE(b.requests, 86u);
   EXPECT_GE(b.ingress - b.requests, 10u);
 }
 
-// The third of requests is kept at the cost of egress: before, that had 43 of 256 for good, where it has 64
-// with one front alone. What other parts do not use is lent to it, but for what these may take at once.
-TEST(Budget, EgressHasWhatOtherPartsDoNotUse) {
+// Reserving a third of the descriptors for requests reduces egress, which once was limited to 43 of 256
+// instead of 64 with a single front. Egress borrows unused descriptors of other parts, except for a reserve.
+TEST(Budget, EgressBorrowsUnusedDescriptors) {
   constexpr std::size_t kOthers = 25 + 9 + 18 + 49;
   const Budget b = Budget::From(256, kMemory, kOthers);
   EXPECT_EQ(b.BorrowableByEgress(0), 0u);
@@ -41,12 +41,12 @@
   EXPECT_EQ(b.egress + b.BorrowableByEgress(kOthers), 64u);
   for (std::size_t unused = 0; unused <= kOthers; ++unused) {
     EXPECT_LE(b.egress + b.BorrowableByEgress(unused), 64u);
-    EXPECT_LE(b.BorrowableByEgress(unused), unused) << "no more than there is";
+    EXPECT_LE(b.BorrowableByEgress(unused), unused) << "more than is unused";
   }
-  EXPECT_EQ(Budget::From(1'024, kMemory, 9).BorrowableByEgress(9), 0u) << "it has a quarter of its own there";
+  EXPECT_EQ(Budget::From(1'024, kMemory, 9).BorrowableByEgress(9), 0u) << "egress owns a full quarter here";
 }
 
-TEST(Budget, TooFewSocketsAreNamed) {
+TEST(Budget, TooFewSocketsAreReported) {
   EXPECT_THROW(
       {
         try {
--- a/tests/console_test.cpp
+++ b/tests/console_test.cpp
@@ -1,4 +1,4 @@
-// The console's calls and metrics, without a socket.
+// The console's endpoints and metrics page, called without a socket.
 #include <gtest/gtest.h>
 
 #include "src/fronts/console/endpoints.h"
@@ -6,49 +6,49 @@
 namespace heronway::console {
 namespace {
 
-http::Message Call(const std::string& method, const std::string& target) {
+http::Message MakeRequest(const std::string& method, const std::string& target) {
   http::Message m;
   m.method = method;
   m.target = target;
   return m;
 }
 
-struct Desk {
+struct Fixture {
   bool ready = true;
-  std::vector<bool> told;
+  std::vector<bool> cordon_calls;
   core::Counters counters;
   std::vector<std::string> classes = {"album-preview", "album-save"};
-  Operations operations{[this] { return ready; }, [this](bool on) { told.push_back(on); },
+  Operations operations{[this] { return ready; }, [this](bool on) { cordon_calls.push_back(on); },
                         [this] { return Metrics{&counters, &classes, 14, 12, 2, 3, 1}; }};
 };
 
 TEST(ConsoleTest, ReadinessFollowsTheFront) {
-  Desk desk;
-  EXPECT_EQ(HandleRequest(Call("GET", "/v1/readyz"), desk.operations).status, 200u);
-  desk.ready = false;
-  EXPECT_EQ(HandleRequest(Call("GET", "/v1/readyz?verbose=1"), desk.operations).status, 503u);
+  Fixture fixture;
+  EXPECT_EQ(HandleRequest(MakeRequest("GET", "/v1/readyz"), fixture.operations).status, 200u);
+  fixture.ready = false;
+  EXPECT_EQ(HandleRequest(MakeRequest("GET", "/v1/readyz?verbose=1"), fixture.operations).status, 503u);
 }
 
-TEST(ConsoleTest, DrainAndActivateAreTold) {
-  Desk desk;
-  EXPECT_EQ(HandleRequest(Call("PUT", "/v1/scheduler/drain"), desk.operations).status, 200u);
-  EXPECT_EQ(HandleRequest(Call("PUT", "/v1/scheduler/activate"), desk.operations).status, 200u);
-  EXPECT_EQ(desk.told, (std::vector<bool>{true, false}));
+TEST(ConsoleTest, DrainAndActivateReachTheFront) {
+  Fixture fixture;
+  EXPECT_EQ(HandleRequest(MakeRequest("PUT", "/v1/scheduler/drain"), fixture.operations).status, 200u);
+  EXPECT_EQ(HandleRequest(MakeRequest("PUT", "/v1/scheduler/activate"), fixture.operations).status, 200u);
+  EXPECT_EQ(fixture.cordon_calls, (std::vector<bool>{true, false}));
 }
 
 TEST(ConsoleTest, WrongMethodOrPathChangesNothing) {
-  Desk desk;
-  EXPECT_EQ(HandleRequest(Call("GET", "/v1/scheduler/drain"), desk.operations).status, 405u);
-  EXPECT_EQ(HandleRequest(Call("PUT", "/v1/readyz"), desk.operations).status, 405u);
-  EXPECT_EQ(HandleRequest(Call("GET", "/v1/nothing"), desk.operations).status, 404u);
-  EXPECT_TRUE(desk.told.empty());
+  Fixture fixture;
+  EXPECT_EQ(HandleRequest(MakeRequest("GET", "/v1/scheduler/drain"), fixture.operations).status, 405u);
+  EXPECT_EQ(HandleRequest(MakeRequest("PUT", "/v1/readyz"), fixture.operations).status, 405u);
+  EXPECT_EQ(HandleRequest(MakeRequest("GET", "/v1/nothing"), fixture.operations).status, 404u);
+  EXPECT_TRUE(fixture.cordon_calls.empty());
 }
 
-TEST(ConsoleTest, FiguresNameEachClassAndTheWhole) {
-  Desk desk;
-  desk.counters.by_class.resize(1);
-  desk.counters.by_class[0] = {812, 5, 2, 830};
-  const Response response = HandleRequest(Call("GET", "/v1/metrics"), desk.operations);
+TEST(ConsoleTest, MetricsListEachClassAndTheTotals) {
+  Fixture fixture;
+  fixture.counters.by_class.resize(1);
+  fixture.counters.by_class[0] = {812, 5, 2, 830};
+  const Response response = HandleRequest(MakeRequest("GET", "/v1/metrics"), fixture.operations);
   ASSERT_EQ(response.status, 200u);
   const std::string& text = response.body;
   for (const char* line :
