--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -43,28 +43,28 @@
 }
 
 // Responds with the outcome of a job that has ended or is unknown. Returns false if the job is still open.
-bool Front::RespondFromStore(Ingress& in, const std::string& id) {
+bool Front::RespondFromStore(Ingress& ingress, const std::string& id) {
   const durable::Job* job = reducer().keeper()->book().Find(id);
   if (job == nullptr) {
-    in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}}, "shed\n");
+    ingress.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}}, "shed\n");
   } else if (job->state != durable::State::kAnswered) {
     return false;
   } else if (job->answer == durable::Answer::kDone) {
-    in.Respond(200, {}, job->text);
+    ingress.Respond(200, {}, job->text);
   } else {
-    in.Respond(502, {}, "failed\n");
+    ingress.Respond(502, {}, "failed\n");
   }
   return true;
 }
 
 // The client's deadline keeps running during the lookup.
-void Front::LookUpElsewhere(Ingress& in, Message message, core::RequestArrived arrived,
+void Front::LookUpElsewhere(Ingress& ingress, Message message, core::RequestArrived arrived,
                             const std::string& alias) {
-  if (!BeginService(in)) return;
+  if (!BeginService(ingress)) return;
   ++open_lookups_;
   const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - shared_.loop.Now();
   job_lookup_(alias, std::clamp<Micros>(left, 1, kLookupTimeout),
-              [this, at = in.weak_from_this(), ticket = in.ticket, message = std::move(message),
+              [this, at = ingress.weak_from_this(), ticket = ingress.ticket, message = std::move(message),
                arrived = std::move(arrived), alias](const cluster::copies::LookupResult& result) {
                 --open_lookups_;
                 const auto client = at.lock();
@@ -80,36 +80,36 @@
               });
 }
 
-void Front::RespondFromLookup(Ingress& in, const cluster::copies::LookupResult& result) {
+void Front::RespondFromLookup(Ingress& ingress, const cluster::copies::LookupResult& result) {
   using cluster::copies::LookupStatus;
   ++join_count_;
-  if (result.status == LookupStatus::kDone) return in.Respond(200, {}, result.result);
-  if (result.status == LookupStatus::kFailed) return in.Respond(502, {}, "failed\n");
-  in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
-             result.status == LookupStatus::kOpen
-                 ? "it is under way; come again by the same key\n"
-                 : "another may have this job; come again by the same key\n");
+  if (result.status == LookupStatus::kDone) return ingress.Respond(200, {}, result.result);
+  if (result.status == LookupStatus::kFailed) return ingress.Respond(502, {}, "failed\n");
+  ingress.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                  result.status == LookupStatus::kOpen
+                      ? "it is under way; come again by the same key\n"
+                      : "another may have this job; come again by the same key\n");
 }
 
-void Front::Join(Ingress& in, const Message& message, const std::string& id, int job_class) {
+void Front::Join(Ingress& ingress, const Message& message, const std::string& id, int job_class) {
   ++join_count_;
   if (reducer().ShedsAllArrivals(shared_.loop.Now()))
-    return in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
-                      "shutting down; come again by the same key\n");
-  if (!CanHoldRequest()) return in.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
+    return ingress.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                           "shutting down; come again by the same key\n");
+  if (!CanHoldRequest()) return ingress.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
   Micros timeout = config_.module.settings.classes[static_cast<std::size_t>(job_class)].deadline;
   if (const auto* text = message.Find("Req-Deadline-Ms")) {
     const auto ms = ParseNumber<std::int64_t>(*text);
     if (ms && *ms > 0) timeout = std::min(*ms, timeout / 1000) * 1000;
   }
-  in.ticket = ++last_ticket_;
-  Joined& joined = joined_[in.ticket];
-  joined.client = &in;
+  ingress.ticket = ++last_ticket_;
+  Joined& joined = joined_[ingress.ticket];
+  joined.client = &ingress;
   joined.id = id;
   joined.timer = std::make_unique<net::Timer>(
-      shared_.loop, [this, ticket = in.ticket] { AskToRetry(joined_.find(ticket)); });
+      shared_.loop, [this, ticket = ingress.ticket] { AskToRetry(joined_.find(ticket)); });
   joined.timer->Start(std::max<Micros>(1, timeout - core::Reducer::kAnswerMargin));
-  joined_by_job_.emplace(id, in.ticket);
+  joined_by_job_.emplace(id, ingress.ticket);
   // An answer in the job table may not be on disk yet.
   const int home = reducer().keeper()->HomeOf(id);
   driver_.WhenStored(
@@ -163,20 +163,20 @@
 // Marks a connection as in service, or responds with 503 if the limit is reached. While the store is
 // unavailable each callback waits for a second, and waiting callbacks must not take the connections on which
 // clients are shed.
-bool Front::BeginService(Ingress& in) {
+bool Front::BeginService(Ingress& ingress) {
   if (InService() >= budget_.in_service) {
-    in.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
-               "too many call-backs wait; say it again\n");
+    ingress.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                    "too many call-backs wait; say it again\n");
     return false;
   }
-  in.ticket = ++last_ticket_;  // in service until it has its response
+  ingress.ticket = ++last_ticket_;  // in service until it has its response
   return true;
 }
 
-void Front::RespondWhenStored(Ingress& in, int home) {
-  if (!BeginService(in)) return;
+void Front::RespondWhenStored(Ingress& ingress, int home) {
+  if (!BeginService(ingress)) return;
   driver_.WhenStored(
-      [at = in.weak_from_this(), ticket = in.ticket](bool stored) {
+      [at = ingress.weak_from_this(), ticket = ingress.ticket](bool stored) {
         const auto client = at.lock();
         if (client == nullptr || client->removed || client->ticket != ticket) return;
         if (stored) return client->Respond(200, {}, {});
@@ -186,17 +186,16 @@
 }
 
 // A job that no scheduler holds has ended and been deleted; its worker gets a 200 as usual.
-void Front::ForwardCallback(Ingress& in, const core::HopCallback& callback) {
-  if (!BeginService(in)) return;
-  forward_report_(callback,
-                  [at = in.weak_from_this(), ticket = in.ticket](cluster::copies::ForwardOutcome outcome) {
-                    const auto client = at.lock();
-                    if (client == nullptr || client->removed || client->ticket != ticket) return;
-                    if (outcome != cluster::copies::ForwardOutcome::kRetry)
-                      return client->Respond(200, {}, {});
-                    client->Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
-                                    "nobody holds it now; say it again\n");
-                  });
+void Front::ForwardCallback(Ingress& ingress, const core::HopCallback& callback) {
+  if (!BeginService(ingress)) return;
+  forward_report_(callback, [at = ingress.weak_from_this(),
+                             ticket = ingress.ticket](cluster::copies::ForwardOutcome outcome) {
+    const auto client = at.lock();
+    if (client == nullptr || client->removed || client->ticket != ticket) return;
+    if (outcome != cluster::copies::ForwardOutcome::kRetry) return client->Respond(200, {}, {});
+    client->Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
+                    "nobody holds it now; say it again\n");
+  });
 }
 
 // Starts a round without a client from the stored request.
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -143,7 +143,8 @@
 bool Front::HasUnsentAnswers() const {
   if (open_lookups_ > 0) return true;
   const auto& busy = ingress_[static_cast<std::size_t>(Stage::kBusy)];
-  return std::any_of(busy.begin(), busy.end(), [](const auto& in) { return !in->stream.all_sent(); });
+  return std::any_of(busy.begin(), busy.end(),
+                     [](const auto& ingress) { return !ingress->stream.all_sent(); });
 }
 
 bool Front::Ready() const {
@@ -182,14 +183,15 @@
 }
 
 // Moves a connection to the list of its current stage, at the end, and updates the count of incoming bytes.
-void Front::UpdateStage(Ingress& in) {
-  const std::size_t holds = in.pipelined.size() + (in.reader.started() ? in.reader.message().size() : 0);
-  incoming_bytes_ += holds - std::exchange(in.counted_bytes, holds);
-  const Stage stage = in.stage();
-  if (stage == in.listed_stage) return;
-  InStage(stage).splice(InStage(stage).end(), InStage(in.listed_stage), in.list_position);
-  in.listed_stage = stage;
-  in.stage_since = shared_.loop.Now();
+void Front::UpdateStage(Ingress& ingress) {
+  const std::size_t holds =
+      ingress.pipelined.size() + (ingress.reader.started() ? ingress.reader.message().size() : 0);
+  incoming_bytes_ += holds - std::exchange(ingress.counted_bytes, holds);
+  const Stage stage = ingress.stage();
+  if (stage == ingress.listed_stage) return;
+  InStage(stage).splice(InStage(stage).end(), InStage(ingress.listed_stage), ingress.list_position);
+  ingress.listed_stage = stage;
+  ingress.stage_since = shared_.loop.Now();
 }
 
 // Frees a descriptor for a new connection if the budget is used up. Closes a connection that has been silent
@@ -285,22 +287,22 @@
   while (!joined_.empty()) AskToRetry(joined_.begin());
 }
 
-void Front::Dispatch(Ingress& in, Message message, std::string_view following) {
-  auto& connections = InStage(in.listed_stage);
-  connections.splice(connections.end(), connections, in.list_position);
+void Front::Dispatch(Ingress& ingress, Message message, std::string_view following) {
+  auto& connections = InStage(ingress.listed_stage);
+  connections.splice(connections.end(), connections, ingress.list_position);
   const std::string path = message.target.substr(0, message.target.find('?'));
-  if (path == "/_jobs/news") return HandleCallback(in, message);
+  if (path == "/_jobs/news") return HandleCallback(ingress, message);
   if (path == "/ready") {
     const bool ready = Ready();
-    return in.Respond(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n");
+    return ingress.Respond(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n");
   }
   if (!following.empty() && !CanBeginRequest(following))
-    return in.RejectAndDiscard(400, "what follows is no request\n");
-  HandleRequest(in, std::move(message));
+    return ingress.RejectAndDiscard(400, "what follows is no request\n");
+  HandleRequest(ingress, std::move(message));
 }
 
 // Targets retry callbacks until they get a response, so every callback is answered, even for an unknown job.
-void Front::HandleCallback(Ingress& in, const Message& message) {
+void Front::HandleCallback(Ingress& ingress, const Message& message) {
   ++callbacks_;
   Json::Value root;
   const std::unique_ptr<Json::CharReader> json(Json::CharReaderBuilder().newCharReader());
@@ -313,7 +315,7 @@
   }
   if (!valid) {
     ++malformed_;
-    return in.Respond(400, {}, "not a call-back\n");
+    return ingress.Respond(400, {}, "not a call-back\n");
   }
   core::HopCallback callback;
   const std::string state = root["state"].asString();
@@ -331,14 +333,14 @@
   // the job. It is rejected and its connection closed, so that the worker retries on a new connection, which
   // the kernel may assign to the process that holds the job.
   if (!durable() && from && !reducer().IsKnown(callback.id)) {
-    in.keep_alive = false;
-    return in.Respond(503, {}, "not held here\n");
+    ingress.keep_alive = false;
+    return ingress.Respond(503, {}, "not held here\n");
   }
   const bool held_elsewhere = forward_report_ && found != kStates.end() &&
                               !reducer().IsPending(callback.id) &&
                               reducer().keeper()->book().Find(callback.id) == nullptr;
   if (held_elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
-  if (found == kStates.end() || !from) return in.Respond(200, {}, {});
+  if (found == kStates.end() || !from) return ingress.Respond(200, {}, {});
   callback.from = *from;
   callback.state = found->second;
   LogHop(callback.id, -1, root["from"].asString(), state);
@@ -359,19 +361,19 @@
     PublishObservations(callback.from, callback.report);
   }
   if (!durable()) {
-    in.Respond(200, {}, {});
+    ingress.Respond(200, {}, {});
     return driver_.Post(std::move(callback));
   }
-  if (held_elsewhere) return ForwardCallback(in, callback);
+  if (held_elsewhere) return ForwardCallback(ingress, callback);
   // The worker may discard its result once it is stored, so the response waits for that.
   const int home = reducer().keeper()->HomeOf(callback.id);
   driver_.Post(std::move(callback));
-  RespondWhenStored(in, home);
+  RespondWhenStored(ingress, home);
 }
 
 // The connection has ended, from either side.
-void Front::OnDisconnected(Ingress& in) {
-  if (const core::Ticket ticket = std::exchange(in.ticket, 0); ticket != 0) {
+void Front::OnDisconnected(Ingress& ingress) {
+  if (const core::Ticket ticket = std::exchange(ingress.ticket, 0); ticket != 0) {
     if (const auto it = joined_.find(ticket); it != joined_.end()) {
       RemoveJoined(it);
     } else if (const auto it = pending_.find(ticket); it != pending_.end() && IsDurable(it->second)) {
@@ -382,24 +384,26 @@
     }
     driver_.Post(core::IngressDisconnected{ticket});
   }
-  in.timer.Stop();
-  if (std::exchange(in.removed, true)) return;
-  incoming_bytes_ -= std::exchange(in.counted_bytes, 0);
+  ingress.timer.Stop();
+  if (std::exchange(ingress.removed, true)) return;
+  incoming_bytes_ -= std::exchange(ingress.counted_bytes, 0);
   --connection_count_;
-  auto& connections = InStage(in.listed_stage);
-  shared_.loop.Bury(std::move(*in.list_position));
-  connections.erase(in.list_position);
+  auto& connections = InStage(ingress.listed_stage);
+  shared_.loop.Bury(std::move(*ingress.list_position));
+  connections.erase(ingress.list_position);
 }
 
-void Front::Remove(Ingress& in, net::Reason reason) {
+void Front::Remove(Ingress& ingress, net::Reason reason) {
   // The only place where the front itself closes a client's connection.
-  const bool unanswered = in.ticket != 0 && (pending_.contains(in.ticket) || joined_.contains(in.ticket));
+  const bool unanswered =
+      ingress.ticket != 0 && (pending_.contains(ingress.ticket) || joined_.contains(ingress.ticket));
   if (!checks_.Check(core::Invariant::kAnsweredBeforeClose, !unanswered))
-    log::Event(
-        log::Level::kError, "invariant",
-        {{"broken", "answered_before_close"}, {"client", net::ToText(in.peer)}, {"end", net::Code(reason)}});
-  in.stream.Close(reason);
-  OnDisconnected(in);
+    log::Event(log::Level::kError, "invariant",
+               {{"broken", "answered_before_close"},
+                {"client", net::ToText(ingress.peer)},
+                {"end", net::Code(reason)}});
+  ingress.stream.Close(reason);
+  OnDisconnected(ingress);
 }
 
 void Front::Execute(core::Effect& effect) {
@@ -476,20 +480,20 @@
   pending_bytes_ -= it->second.message.size();
   pending_.erase(it);
   if (client == nullptr) return;
-  Ingress& in = *client;
+  Ingress& ingress = *client;
   LogFinalAnswer(id, e.kind);
   switch (e.kind) {
     case core::AnswerKind::kServed:
-      return in.Respond(200, {}, e.result);
+      return ingress.Respond(200, {}, e.result);
     case core::AnswerKind::kShed: {
       Headers headers;
       if (e.retry_after > 0) headers.emplace_back("Retry-After", FormatSeconds(e.retry_after));
-      return in.Respond(503, headers, "shed\n");
+      return ingress.Respond(503, headers, "shed\n");
     }
     case core::AnswerKind::kFailed:
-      return in.Respond(502, {}, "failed\n");
+      return ingress.Respond(502, {}, "failed\n");
     case core::AnswerKind::kRejected:
-      return in.Respond(400, {}, "a worker could not use the request\n");
+      return ingress.Respond(400, {}, "a worker could not use the request\n");
   }
 }
 
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -48,7 +48,7 @@
   std::size_t CountUnselectableTargets() const;
   void SetDiscoveryAddress(const net::Address& at);  // takes effect once the new service has sent its list
   void RulesChanged();                               // the match rules have been reloaded
-  void LogStatistics() const;
+  void LogStatistics() const;                        // logs all counters
   const core::Reducer& reducer() const { return driver_.reducer(); }
   core::Invariants invariants() const;  // violations counted by the reducer and by the connections
   // Checks, right before the process exits, that no request is unanswered.
@@ -57,7 +57,7 @@
   // Open connections from clients and from targets that send callbacks.
   std::size_t connection_count() const { return connection_count_; }
   net::Address address() const { return listener_.address(); }
-  void UpdateFleetView(const core::FleetView& seen) { driver_.Post(core::FleetView(seen)); }
+  void UpdateFleetView(const core::FleetView& view) { driver_.Post(core::FleetView(view)); }
   // Forwards a callback for a job that is not held here; set where jobs are replicated.
   using ForwardReport = std::function<void(const core::HopCallback&, cluster::copies::ReportForwarder::Done)>;
   void SetReportForwarder(ForwardReport forward) { forward_report_ = std::move(forward); }
@@ -77,17 +77,16 @@
   void ApplyAdvice(const cluster::TargetAdvice& advice);  // observations of other schedulers
 
   // Time and memory limits for slow or misbehaving peers; times in microseconds.
-  // From connecting until the first request is complete
-  static constexpr Micros kFirstRequestTime = 2'500'000;
-  static constexpr Micros kRequestTime = 10'000'000;       // until a later request is complete
+  static constexpr Micros kFirstRequestTime = 2'500'000;  // from connecting until a first request is complete
+  static constexpr Micros kRequestTime = 10'000'000;      // until a later request is complete
   static constexpr Micros kResponseReadTime = 15'000'000;  // for the peer to read a response
   static constexpr Micros kLingerTime = 2'000'000;         // for the peer to close after the final response
   static constexpr std::size_t kMaxDiscardedBytes = 1024 * 1024;  // bytes of input discarded in that time
-  static constexpr Micros kIdleTime = 60'000'000;
+  static constexpr Micros kIdleTime = 60'000'000;                 // idle time after a successful response
   static constexpr Micros kUnservedIdleTime = 5'000'000;  // idle time before a first successful response
   static constexpr Micros kCancelTimeout = 300'000;       // for a target to answer the cancellation of a hop
   static constexpr Micros kHopAcceptTimeout = 1'000'000;  // for a target to accept a hop
-  static constexpr Micros kProbeTimeout = 300'000;
+  static constexpr Micros kProbeTimeout = 300'000;        // for a target to answer a probe
 
  private:
   struct Ingress;
@@ -106,8 +105,8 @@
   bool FreeDescriptor(bool must);
   void OnIngressFull();       // accepting connections is suspended
   void OnIngressAvailable();  // accepting connections resumes
-  void CloseIdle();
-  void RejectIncomplete();
+  void CloseIdle();           // while draining
+  void RejectIncomplete();    // at the end of a graceful shutdown
   void LogStopState(const char* state) const;
   // State of an ingress connection. Each stage has a list ordered by the time of entry, oldest first, so that
   // the cost per connection does not grow with their number.
@@ -121,34 +120,35 @@
   static constexpr std::size_t kStages = 5;
   using ConnectionList = std::list<std::shared_ptr<Ingress>>;
   ConnectionList& InStage(Stage stage) { return ingress_[static_cast<std::size_t>(stage)]; }
-  void UpdateStage(Ingress& in);
-  void Dispatch(Ingress& in, Message message, std::string_view following);
-  void HandleRequest(Ingress& in, Message message);
-  void LookUpElsewhere(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias);
-  void RespondFromLookup(Ingress& in, const cluster::copies::LookupResult& result);
-  void Admit(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias);
+  void UpdateStage(Ingress& ingress);
+  void Dispatch(Ingress& ingress, Message message, std::string_view following);
+  void HandleRequest(Ingress& ingress, Message message);
+  void LookUpElsewhere(Ingress& ingress, Message message, core::RequestArrived arrived,
+                       const std::string& alias);
+  void RespondFromLookup(Ingress& ingress, const cluster::copies::LookupResult& result);
+  void Admit(Ingress& ingress, Message message, core::RequestArrived arrived, const std::string& alias);
   static match::Request ToRuleRequest(const Message& message);
   static void ParseResources(const Message& message, pebblenotch::Request& request);
-  match::Service::Judgement EvaluateRules(const Ingress& in, const Message& message);
-  void HandleCallback(Ingress& in, const Message& message);
+  match::Service::Judgement EvaluateRules(const Ingress& ingress, const Message& message);
+  void HandleCallback(Ingress& ingress, const Message& message);
   bool durable() const { return reducer().keeper() != nullptr; }
-  void Join(Ingress& in, const Message& message, const std::string& job, int job_class);
+  void Join(Ingress& ingress, const Message& message, const std::string& job, int job_class);
   static durable::Task ToTask(const Message& message, const pebblenotch::Request& request, std::string alias);
   static std::string JobAlias(const std::string& class_name, const std::string& key);
   bool IsDurable(const Pending& pending) const;
   void RemoveJoined(std::map<core::Ticket, Joined>::iterator it);
   void AskToRetry(std::map<core::Ticket, Joined>::iterator it);  // answers that the job is in progress
-  void RespondWhenStored(Ingress& in, int home);
-  void ForwardCallback(Ingress& in, const core::HopCallback& callback);
-  bool BeginService(Ingress& in);
+  void RespondWhenStored(Ingress& ingress, int home);
+  void ForwardCallback(Ingress& ingress, const core::HopCallback& callback);
+  bool BeginService(Ingress& ingress);
   // Connections in service or with a response being sent. Jobs without a client have no connection.
   std::size_t InService() { return InStage(Stage::kBusy).size(); }
   bool CanHoldRequest() {  // whether one more request fits the budget
     return pending_.size() + joined_.size() < budget_.requests && InService() < budget_.in_service;
   }
-  bool RespondFromStore(Ingress& in, const std::string& job);
-  void OnDisconnected(Ingress& in);
-  void Remove(Ingress& in, net::Reason reason);
+  bool RespondFromStore(Ingress& ingress, const std::string& job);
+  void OnDisconnected(Ingress& ingress);
+  void Remove(Ingress& ingress, net::Reason reason);
 
   void Execute(core::Effect& effect);
   void Perform(core::SendHop& e);
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -174,19 +174,18 @@
   net::Timer timer;
   net::Stream stream;
   Micros connected_at;
-  Micros received_at = 0, pipelined_received_at =
-                              // When the last bytes reached this machine: of the current message, and of
-                          // `pipelined`.
-                          0;
+  // When the last bytes reached this machine: of the current message, and of `pipelined`.
+  Micros received_at = 0, pipelined_received_at = 0;
   net::Address peer;
-  core::Ticket ticket = 0;
+  core::Ticket ticket = 0;  // of the request in service; 0: none
   bool keep_alive = true, closing = false, continue_sent = false;
   bool discarding = false;                   // further input is discarded; nothing more is written
   bool removed = false;                      // removed from the front's lists
   bool had_request = false, served = false;  // has sent a complete request; has received a 200
-  std::string pipelined;
-  std::size_t discarded_bytes = 0,
-              counted_bytes = 0;  // `counted_bytes`: its share of the front's incoming_bytes_
+  std::string pipelined;                     // input received while a request is in service
+  // `counted_bytes`: its share of the front's incoming_bytes_.
+  std::size_t discarded_bytes = 0, counted_bytes = 0;
+  // Stage whose list holds the connection, since when, and its position there.
   Stage listed_stage = Stage::kNew;
   Micros stage_since = connected_at;
   ConnectionList::iterator list_position;
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -65,10 +65,10 @@
 }
 
 // Returns the decision of the match rules, or an empty one without rules.
-match::Service::Judgement Front::EvaluateRules(const Ingress& in, const Message& message) {
+match::Service::Judgement Front::EvaluateRules(const Ingress& ingress, const Message& message) {
   if (rules_ == nullptr) return {};
   match::Request r = ToRuleRequest(message);
-  r.peer = match::Mapped(&in.peer.sin_addr);
+  r.peer = match::Mapped(&ingress.peer.sin_addr);
   const auto decision = rules_->Judge(shared_.loop.Now(), r);
   if (decision.marked_by != nullptr)
     log::Event(log::Level::kInfo, "marked",
@@ -85,17 +85,17 @@
   if (const auto it = values.find("memory"); it != values.end()) request.memory = it->second;
 }
 
-void Front::HandleRequest(Ingress& in, Message message) {
+void Front::HandleRequest(Ingress& ingress, Message message) {
   const auto reject = [&](unsigned status, const char* why) {
     ++malformed_;
-    in.Respond(status, {}, std::string(why) + "\n");
+    ingress.Respond(status, {}, std::string(why) + "\n");
   };
-  const auto decision = EvaluateRules(in, message);
+  const auto decision = EvaluateRules(ingress, message);
   if (decision.refuse != nullptr) return reject(403, decision.refuse->c_str());
   if (decision.rate != nullptr) {
     ++not_admitted_;
-    return in.Respond(429, {{"Retry-After", FormatSeconds(decision.wait)}},
-                      "over the rate " + *decision.rate + "\n");
+    return ingress.Respond(429, {{"Retry-After", FormatSeconds(decision.wait)}},
+                           "over the rate " + *decision.rate + "\n");
   }
   const auto first_segment = message.target.substr(0, message.target.find_first_of("?/", 1));
   const auto job_class =
@@ -112,7 +112,7 @@
   const std::string alias =
       durable() && idempotency != nullptr ? JobAlias(*job_class, *idempotency) : std::string();
   if (const auto* job = alias.empty() ? nullptr : reducer().keeper()->book().IdOf(alias); job != nullptr)
-    return Join(in, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
+    return Join(ingress, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
   // Clients use a new id for each request. This protects a request whose hop may still be in flight, or that
   // was just answered, from another one with the same id.
   if (driver_.reducer().IsKnown(*id) || (durable() && reducer().keeper()->book().Find(*id) != nullptr))
@@ -133,7 +133,7 @@
     timeout = std::min(*ms, timeout / 1000) * 1000;
   }
   // The client's deadline runs from when it sent the request, which may be some time before it was read here.
-  r.deadline = in.received_at + timeout;
+  r.deadline = ingress.received_at + timeout;
   if (const auto* text = message.Find("Req-Key")) {
     const auto key = ParseNumber<std::uint64_t>(*text, 16);
     if (!key) return reject(400, "Req-Key is not a hexadecimal number");
@@ -148,12 +148,12 @@
   ParseResources(message, r);
   arrived.id = *id;
   if (!alias.empty() && job_lookup_)
-    return LookUpElsewhere(in, std::move(message), std::move(arrived), alias);
-  Admit(in, std::move(message), std::move(arrived), alias);
+    return LookUpElsewhere(ingress, std::move(message), std::move(arrived), alias);
+  Admit(ingress, std::move(message), std::move(arrived), alias);
 }
 
 // Holds the request, or sheds it if it exceeds a limit.
-void Front::Admit(Ingress& in, Message message, core::RequestArrived arrived, const std::string& alias) {
+void Front::Admit(Ingress& ingress, Message message, core::RequestArrived arrived, const std::string& alias) {
   pebblenotch::Request& r = arrived.request;
   const std::size_t size = message.size();
   // Limits memory and descriptors: a request that cannot be held is shed at once, before any work on it.
@@ -162,10 +162,10 @@
       (!alias.empty() && driver_.StoreFull())) {
     ++not_admitted_;
     if (driver_.reducer().limits() == nullptr)
-      return in.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
+      return ingress.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
     arrived.no_capacity = true;
   }
-  r.id = in.ticket = ++last_ticket_;
+  r.id = ingress.ticket = ++last_ticket_;
   // Retries have a new request id, so the key, if present, identifies a retry.
   if (const auto* key = message.Find("Idempotency-Key")) {
     arrived.client = *key;
@@ -176,7 +176,7 @@
   if (!alias.empty() && !arrived.no_capacity) arrived.task = ToTask(message, r, alias);
   if (arrived.no_capacity) message = {};  // the shed request's message is not kept
   pending_bytes_ += message.size();
-  pending_.emplace(r.id, Pending{&in, arrived.id, std::move(message)});
+  pending_.emplace(r.id, Pending{&ingress, arrived.id, std::move(message)});
   driver_.Post(std::move(arrived));
 }
 
