--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -58,7 +58,7 @@
   std::filesystem::remove(folder + "/alone.db");
   auto store = std::make_unique<SqliteStore>(
       SqliteStore::Settings{folder + "/alone.db", {"a"}, std::vector<ClassRules>(1), 0},
-      SqliteStore::Use::kServe);
+      SqliteStore::Mode::kServe);
   std::mutex lock;
   std::condition_variable changed;
   Writer writer(std::move(store), {}, [&] {
@@ -75,7 +75,7 @@
       r.text.assign(360, 'x');
     }
     const double began = Now();
-    const auto last = writer.Hand(std::move(records));
+    const auto last = writer.Enqueue(std::move(records));
     std::unique_lock hold(lock);
     changed.wait(hold, [&] { return writer.stored() >= last; });
     took.push_back((Now() - began) * 1e3);
@@ -84,7 +84,7 @@
   const auto c = writer.counts();
   return {
       static_cast<double>(n) / waited, Quantile(took, 0.5), Quantile(took, 0.99),
-      std::to_string(c.commits > 0 ? n / c.commits : 0) + " a commit, " + std::to_string(c.folds) + " folds"};
+      std::to_string(c.commits > 0 ? n / c.commits : 0) + " a commit, " + std::to_string(c.compactions) + " folds"};
 }
 
 // A folder with what the program needs; the program in it.
@@ -285,7 +285,7 @@
       const std::string folder = mkdtemp(name), file = folder + "/faktory.db";
       {
         const std::vector<std::string> names = {"preview", "save", "once"};
-        SqliteStore store({file, names, std::vector<ClassRules>(3), 0}, SqliteStore::Use::kServe);
+        SqliteStore store({file, names, std::vector<ClassRules>(3), 0}, SqliteStore::Mode::kServe);
         std::vector<Record> batch;
         for (int i = 0; i < jobs; ++i) {
           Record r;
@@ -298,7 +298,7 @@
           batch.push_back(r);
           if (batch.size() == 16 || i + 1 == jobs) store.Append(std::exchange(batch, {}));
         }
-        while (store.Fold(10'000, 4'096) > 0) {
+        while (store.Compact(10'000, 4'096) > 0) {
         }
       }
       Served served(folder);
--- a/src/cluster/copies/links.cpp
+++ b/src/cluster/copies/links.cpp
@@ -8,7 +8,7 @@
 
 namespace heronway::cluster::copies {
 
-// One that another member began: it speaks, this one listens.
+// A connection that another member opened: it sends frames, this member receives them.
 struct Links::Inbound : net::Stream::Owner {
   Inbound(Links& owner, int fd, const net::Address& at)
       : links(owner),
@@ -19,7 +19,7 @@
   void OnData(std::string_view some) override {
     links.bytes_in += some.size();
     bytes.append(some);
-    stream.Write(".");  // it is taken: the other end tells by it that this connection lives
+    stream.Write(".");  // acknowledges the data: the peer sees that the connection works
     if (!stream.open()) return;
     std::size_t used = 0;
     while (!ended && bytes.size() - used >= kHeaderBytes) {
@@ -42,7 +42,7 @@
       hello_timer.Stop();
       from = frame.from;
       if (!frame.detail.empty()) links.SetAddress(from, frame.detail);
-      // A newer connection of a member takes the place of the one before, which may be dead without a word.
+      // A newer connection of a member replaces the former one, which may be dead without having been closed.
       for (const auto& other : links.inbound_) {
         if (other.get() != this && other->from == from && !other->ended) {
           links.End(*other);
@@ -67,13 +67,13 @@
   bool ended = false;
 };
 
-// One that this member began: it speaks.
+// A connection that this member opened, to send frames.
 struct Links::Outbound : net::Stream::Owner {
   Outbound(Links& owner, std::string member)
       : links(owner),
         to(std::move(member)),
         redial_timer(owner.shared_.loop, [this] { redial_delayed = false; }) {}
-  void OnUp() override {
+  void OnConnected() override {
     Frame hello;
     hello.fleet = links.settings_.fleet;
     hello.from = links.settings_.name;
@@ -96,13 +96,14 @@
   std::string to;
   net::Timer redial_timer;
   std::shared_ptr<net::Stream> stream;
-  std::vector<std::string> queued;  // until it is up
+  std::vector<std::string> queued;  // until the connection is up
   std::size_t unsent_bytes = 0, queued_bytes = 0;
-  net::Micros unacked_since = -1;  // the first that was written since the other end was heard
-  bool redial_delayed = false;     // it was tried a moment ago
+  // When the first data was written since the last acknowledgement; -1: all is acknowledged.
+  net::Micros unacked_since = -1;
+  bool redial_delayed = false;  // the last dial was less than kRedialDelay ago
 };
 
-Links::Links(net::Shared& shared, const Settings& settings,
+Links::Links(net::StreamContext& shared, const Settings& settings,
              std::function<void(const std::string&, Frame)> received)
     : shared_(shared),
       settings_(settings),
@@ -120,7 +121,8 @@
   }
 }
 
-// Guards the members that are heard against a crowd that says nothing: the oldest that has not greeted goes.
+// Protects members' connections from idle ones: closes the oldest connection without a hello, or the oldest
+// of all.
 bool Links::MakeRoom() {
   if (inbound_.size() < kMaxInbound) return true;
   const auto without_hello =
@@ -141,7 +143,7 @@
 
 bool Links::IsConnected(const std::string& member) const {
   const auto it = outbound_.find(member);
-  return it != outbound_.end() && it->second->stream && it->second->stream->up();
+  return it != outbound_.end() && it->second->stream && it->second->stream->connected();
 }
 
 void Links::Send(const std::string& to, const Frame& frame) {
@@ -154,7 +156,7 @@
     it = outbound_.emplace(to, std::make_unique<Outbound>(*this, to)).first;
   }
   Outbound& out = *it->second;
-  // Guards against a connection that a cut has left open and silent: the system would go on trying for
+  // After a network partition the connection may stay open without progress; the system would retry for
   // minutes.
   if (out.unacked_since >= 0 && shared_.loop.Now() - out.unacked_since > kAckTimeout && out.stream &&
       out.stream->open()) {
@@ -167,7 +169,7 @@
     ++frames_lost;
     return;
   }
-  if (out.stream->up()) return out.Write(bytes);
+  if (out.stream->connected()) return out.Write(bytes);
   out.queued_bytes += bytes.size();
   out.queued.push_back(bytes);
 }
@@ -189,7 +191,7 @@
 void Links::End(Outbound& out) {
   out.queued.clear();
   out.queued_bytes = out.unsent_bytes = 0;
-  if (out.stream) shared_.loop.Bury(std::exchange(out.stream, nullptr));
+  if (out.stream) shared_.loop.DestroyLater(std::exchange(out.stream, nullptr));
 }
 
 void Links::End(Inbound& in) {
@@ -199,7 +201,7 @@
   const auto it =
       std::find_if(inbound_.begin(), inbound_.end(), [&in](const auto& p) { return p.get() == &in; });
   if (it == inbound_.end()) return;
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   inbound_.erase(it);
 }
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-Watch::Watch(net::Shared& shared, RouteTable& table, const net::Address& at, std::uint64_t seed, Micros grace,
-             std::function<void(core::RoutesChanged)> changed)
+Watch::Watch(net::StreamContext& shared, RouteTable& table, const net::Address& at, std::uint64_t seed,
+             Micros grace, std::function<void(core::RoutesChanged)> changed)
     : shared_(shared),
       table_(table),
       at_(at),
@@ -54,10 +54,10 @@
   if (stream_) stream_->Close(net::Reason::kShutdown);
 }
 
-void Watch::MoveTo(const net::Address& at) {
+void Watch::SetAddress(const net::Address& at) {
   Stop();
   at_ = at;
-  table_.ForgetGeneration();
+  table_.ResetGeneration();
   moved_ = true;
   Call();
 }
@@ -72,10 +72,10 @@
   patience_.Start(moved_ ? kListPatience : hold + kPatience);
   // Guards against a call on a connection that discovery has ended, or on which there is more than it was
   // asked for: that would be taken for the answer.
-  if (stream_ && stream_->up() && stream_->Peek() != net::Stream::Unread::kNothing)
+  if (stream_ && stream_->connected() && stream_->Peek() != net::Stream::Unread::kNothing)
     stream_->Close(net::Reason::kProtocol);
   if (!stream_ || !stream_->open()) {
-    if (stream_) shared_.loop.Bury(std::move(stream_));
+    if (stream_) shared_.loop.DestroyLater(std::move(stream_));
     reader_ = std::make_unique<http::MessageParser>(HTTP_RESPONSE, kMostAnswer);
     stream_ =
         std::make_shared<net::Stream>(shared_, at_, kDialTimeout, "discovery " + net::ToText(at_), *this);
@@ -105,19 +105,19 @@
   std::optional<core::RoutesChanged> change;
   try {
     if (json->parse(answer.body.data(), answer.body.data() + answer.body.size(), &root, nullptr))
-      change = table_.Take(root, moved_ ? ListKind::kWhole : ListKind::kChanges,
-                           {shared_.loop.Now(), net::Loop::WallClock()});
+      change = table_.Apply(root, moved_ ? ListKind::kWhole : ListKind::kChanges,
+                            {shared_.loop.Now(), net::Loop::WallClock()});
   } catch (const Json::Exception&) {
   }
   if (!change) {
     // Changes that are older than what is known here tell nothing of what came between.
-    const bool older = table_.Older(root);
+    const bool older = table_.IsOutdated(root);
     moved_ = moved_ || older;
     return Fail(older ? Failure::kOldAnswer : Failure::kBadMessage, net::Reason::kBadMessage);
   }
   LogAnswer(from, *change);
   lease_.Confirmed(answer_began_);
-  heard_at_ = shared_.loop.Now();
+  last_answer_at_ = shared_.loop.Now();
   quick_failures_ = 0;
   if (!answer.keep_alive) stream_->Close(net::Reason::kAnswered);
   if (used < bytes.size()) stream_->Close(net::Reason::kProtocol);  // nobody asked for what is behind it
@@ -136,8 +136,8 @@
   log::Event(valid ? log::Level::kInfo : log::Level::kWarn, "discovery",
              {{"list", valid ? "in_force" : "out_of_date"},
               {"generation", table_.generation()},
-              {"listed", table_.Listed()}});
-  changed_(valid ? table_.Whole() : core::RoutesChanged{ListKind::kWhole, {}});
+              {"listed", table_.CountListed()}});
+  changed_(valid ? table_.FullList() : core::RoutesChanged{ListKind::kWhole, {}});
   return valid;
 }
 
@@ -157,7 +157,7 @@
               {"from", from},
               {"generation", table_.generation()},
               {"entries", change.entries.size()},
-              {"listed", table_.Listed()},
+              {"listed", table_.CountListed()},
               {"took_ms", (shared_.loop.Now() - began_) / 1000},
               {"targets", named}});
 }
@@ -217,7 +217,7 @@
 CallFailure Watch::Meaning(Failure failure) const {
   switch (failure) {
     case Failure::kConnectFailed:
-      return stream_->refused() ? CallFailure::kRefused : CallFailure::kUnreachable;
+      return stream_->connection_refused() ? CallFailure::kRefused : CallFailure::kUnreachable;
     case Failure::kEnded:
     case Failure::kNoAnswer:
       return answer_began_ == 0 ? CallFailure::kUnreachable : CallFailure::kUnusable;
--- a/src/fronts/console/console.cpp
+++ b/src/fronts/console/console.cpp
@@ -47,7 +47,7 @@
   std::list<std::shared_ptr<Connection>>::iterator list_position;
 };
 
-Console::Console(net::Shared& shared, const net::Address& at, Handler handler)
+Console::Console(net::StreamContext& shared, const net::Address& at, Handler handler)
     : shared_(shared),
       handler_(std::move(handler)),
       listener_(
@@ -62,7 +62,7 @@
 bool Console::FreeConnection(bool must) {
   if (!must && connections_.size() < kMaxConnections) return true;
   if (connections_.empty()) return false;
-  Remove(*connections_.front(), net::Reason::kMakeRoom);
+  Remove(*connections_.front(), net::Reason::kEvicted);
   return true;
 }
 
@@ -75,7 +75,7 @@
   if (std::exchange(connection.removed, true)) return;
   connection.timer.Stop();
   if (connection.stream.open()) connection.stream.Close(reason);
-  shared_.loop.Bury(std::move(*connection.list_position));
+  shared_.loop.DestroyLater(std::move(*connection.list_position));
   connections_.erase(connection.list_position);
 }
 
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -49,7 +49,7 @@
   front.Remove(*this, greeted ? net::Reason::kIdle : net::Reason::kSlowRequest);
 }
 
-Front::Front(net::Shared& shared, const config::Config& config, const config::Options& options,
+Front::Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
              const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained)
     : shared_(shared),
       config_(config),
@@ -59,11 +59,11 @@
       driver_(
           shared.loop, FleetOf(config.module.settings), config.seed + 1, 0, options.limits,
           [this](core::Effect& e) { Execute(e); },
-          durable::Open(options.durable, "faktory", config.classes, FleetOf(config.module.settings),
-                        config.seed + 3),
+          durable::OpenStore(options.durable, "faktory", config.classes, FleetOf(config.module.settings),
+                             config.seed + 3),
           "faktory"),
       listener_(
-          shared.loop, faktory.listen, options.limits.accepts, [this](bool must) { return MakeRoom(must); },
+          shared.loop, faktory.listen, options.limits.accept, [this](bool must) { return MakeRoom(must); },
           [this](int fd, const net::Address& from) { Accepted(fd, from); }),
       most_bytes_(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 / 16) {
   // Its part of the descriptors; the HTTP front's parts leave this much.
@@ -101,7 +101,7 @@
     return c->worker == nullptr && !c->busy() && c->stream.all_sent();
   });
   if (it == connections_.end()) return false;
-  Remove(**it, net::Reason::kMakeRoom);
+  Remove(**it, net::Reason::kEvicted);
   return true;
 }
 
@@ -124,7 +124,7 @@
   const auto it =
       std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
   if (it == connections_.end()) return;
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   connections_.erase(it);
   if (worker == nullptr) return;
   std::erase(worker->connections, &c);
@@ -234,11 +234,11 @@
 void Front::Push(Connection& c, std::string_view rest) {
   faktory::Job spec = ParseJob(rest, config_.classes, rules_ != nullptr, durable());
   if (durable()) {
-    if (const auto* known = reducer().keeper()->book().Find(spec.jid); known != nullptr) {
+    if (const auto* known = reducer().job_manager()->table().Find(spec.jid); known != nullptr) {
       if (rules_ == nullptr && known->job_class != spec.job_class)
         throw Fault("jid is in use by a job of another jobtype");
       ++joined_;
-      return ReplyWhenStored(c, Simple("OK"), reducer().keeper()->HomeOf(spec.jid));
+      return ReplyWhenStored(c, Simple("OK"), reducer().job_manager()->StoreIdOf(spec.jid));
     }
   }
   ForgetOldAnswers();
@@ -409,7 +409,7 @@
       return h.job->ticket == ticket && h.number == n && h.on == nullptr;
     });
     if (it == worker.hops.end()) return;
-    shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(it->patience)));
+    shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->patience)));
     worker.hops.erase(it);
     driver_.Post(core::HopEnded{ticket, n, Result::kFull, LoadOf(worker)});
   });
@@ -432,7 +432,7 @@
         std::find_if(worker.connections.begin(), worker.connections.end(), [&hop](const Connection* c) {
           // One that has ended, unread so far, would leave the job as one that may have run.
           return c->fetching && std::count(c->queues.begin(), c->queues.end(), hop.job->queue) > 0 &&
-                 !c->stream.PeerGone();
+                 !c->stream.PeerClosed();
         });
     if (taker == worker.connections.end()) continue;
     hop.on = *taker;
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -28,7 +28,7 @@
 
 class Front {
  public:
-  Front(net::Shared& shared, const config::Config& config, const config::Options& options,
+  Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
         const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
   void Drain() { driver_.Post(core::DrainStarted{}); }
@@ -80,8 +80,8 @@
   void TakeDurable(Connection& c, core::JobSubmitted submitted);
   bool CanTake(Connection& c);
   void AckDurable(Connection& c, core::HopCallback news);
-  void ReplyWhenStored(Connection& c, std::string line, int home);
-  bool durable() const { return reducer().keeper() != nullptr; }
+  void ReplyWhenStored(Connection& c, std::string line, int store_id);
+  bool durable() const { return reducer().job_manager() != nullptr; }
   core::TargetId TargetOf(const std::string& wid);
   void Fetch(Connection& c, std::string_view rest);
   void Ack(Connection& c, const Command& command);
@@ -105,7 +105,7 @@
   void TellLoad(Worker& worker);
   void ForgetOldAnswers();
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   const config::Config& config_;
   config::FaktoryConfig faktory_;
   match::Service* rules_;
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -23,12 +23,13 @@
 
 // The request as it is forwarded to a target, in the form that is stored and parsed again for each later
 // round.
-durable::Task Front::ToTask(const Message& message, const pebblenotch::Request& request, std::string alias) {
+durable::JobSpec Front::ToTask(const Message& message, const pebblenotch::Request& request,
+                               std::string alias) {
   Headers headers;
   for (const char* name : kForwardedHeaders) {
     if (const auto* value = message.Find(name)) headers.emplace_back(name, *value);
   }
-  durable::Task task;
+  durable::JobSpec task;
   task.job_class = request.job_class;
   task.text = FormatRequest(message.method, message.target, headers, message.body);
   task.alias = std::move(alias);
@@ -39,17 +40,17 @@
 
 bool Front::IsDurable(const Pending& pending) const {
   if (!durable() || pending.message.Find("Idempotency-Key") == nullptr) return false;
-  return reducer().keeper()->InHand(pending.id);
+  return reducer().job_manager()->IsActive(pending.id);
 }
 
 // Responds with the outcome of a job that has ended or is unknown. Returns false if the job is still open.
 bool Front::RespondFromStore(Ingress& ingress, const std::string& id) {
-  const durable::Job* job = reducer().keeper()->book().Find(id);
+  const durable::Job* job = reducer().job_manager()->table().Find(id);
   if (job == nullptr) {
     ingress.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}}, "shed\n");
-  } else if (job->state != durable::State::kAnswered) {
+  } else if (job->state != durable::JobState::kFinished) {
     return false;
-  } else if (job->answer == durable::Answer::kDone) {
+  } else if (job->outcome == durable::Outcome::kDone) {
     ingress.Respond(200, {}, job->text);
   } else {
     ingress.Respond(502, {}, "failed\n");
@@ -73,7 +74,7 @@
                 if (result.status != cluster::copies::LookupStatus::kUnknown)
                   return RespondFromLookup(*client, result);
                 // The job may have arrived in the meantime from another client or scheduler.
-                if (const auto* job = reducer().keeper()->book().IdOf(alias); job != nullptr)
+                if (const auto* job = reducer().job_manager()->table().FindByAlias(alias); job != nullptr)
                   return Join(*client, message, std::string(*job), arrived.request.job_class);
                 if (reducer().IsKnown(arrived.id)) return client->Respond(409, {}, "Req-Id is in use\n");
                 Admit(*client, message, arrived, alias);
@@ -111,18 +112,18 @@
   joined.timer->Start(std::max<Micros>(1, timeout - core::Reducer::kAnswerMargin));
   joined_by_job_.emplace(id, ingress.ticket);
   // An answer in the job table may not be on disk yet.
-  const int home = reducer().keeper()->HomeOf(id);
+  const int store_id = reducer().job_manager()->StoreIdOf(id);
   driver_.WhenStored(
       [this, id](bool stored) {
         // Without a majority, another scheduler may answer the job differently, so the answer is sent only
         // once it is stored.
-        if (!stored && driver_.copied()) return;
+        if (!stored && driver_.replicated()) return;
         core::Settled settled{id};
-        if (const auto* job = reducer().keeper()->book().Find(id);
-            job == nullptr || job->state == durable::State::kAnswered)
+        if (const auto* job = reducer().job_manager()->table().Find(id);
+            job == nullptr || job->state == durable::JobState::kFinished)
           Perform(settled);
       },
-      home);
+      store_id);
 }
 
 void Front::AskToRetry(std::map<core::Ticket, Joined>::iterator it) {
@@ -140,7 +141,7 @@
     break;
   }
   it->second.timer->Stop();
-  shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(it->second.timer)));
+  shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->second.timer)));
   joined_.erase(it);
 }
 
@@ -149,8 +150,8 @@
     const auto entry = joined_by_job_.find(e.id);
     if (entry == joined_by_job_.end()) return;
     const auto it = joined_.find(entry->second);
-    const auto* job = reducer().keeper()->book().Find(e.id);
-    if (job != nullptr && job->state != durable::State::kAnswered) {
+    const auto* job = reducer().job_manager()->table().Find(e.id);
+    if (job != nullptr && job->state != durable::JobState::kFinished) {
       AskToRetry(it);
       continue;
     }
@@ -173,7 +174,7 @@
   return true;
 }
 
-void Front::RespondWhenStored(Ingress& ingress, int home) {
+void Front::RespondWhenStored(Ingress& ingress, int store_id) {
   if (!BeginService(ingress)) return;
   driver_.WhenStored(
       [at = ingress.weak_from_this(), ticket = ingress.ticket](bool stored) {
@@ -182,7 +183,7 @@
         if (stored) return client->Respond(200, {}, {});
         client->Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}}, "not stored yet; say it again\n");
       },
-      home);
+      store_id);
 }
 
 // A job that no scheduler holds has ended and been deleted; its worker gets a 200 as usual.
@@ -200,7 +201,7 @@
 
 // Starts a round without a client from the stored request.
 void Front::Perform(core::StartRound& e) {
-  const durable::Job* job = reducer().keeper()->book().Find(e.id);
+  const durable::Job* job = reducer().job_manager()->table().Find(e.id);
   MessageParser reader(HTTP_REQUEST, kMaxBodyBytes);
   std::size_t used = 0;
   if (job == nullptr || reader.Feed(job->text, used) != ParseState::kComplete)
--- a/src/fronts/http/egress.cpp
+++ b/src/fronts/http/egress.cpp
@@ -14,7 +14,7 @@
         timer(owner.shared_.loop, [this] { OnTimer(); }),
         stream(owner.shared_, address, owner.limits_.dial_timeout, "egress " + net::ToText(address), *this) {}
 
-  void OnUp() override {
+  void OnConnected() override {
     if (call != 0) SendRequest();
     if (egress.dial_ended_) egress.dial_ended_(target, true);  // the callback may close this connection
   }
@@ -43,7 +43,7 @@
     egress.Finish(*this, {CallResult::Kind::kResponse, std::move(answer)}, reusable);
   }
   void OnEnd(net::Reason) override {
-    if (stream.refused() && egress.dial_ended_) egress.dial_ended_(target, false);
+    if (stream.connection_refused() && egress.dial_ended_) egress.dial_ended_(target, false);
     if (call != 0 && reused) egress.avoid_reuse_until_ = egress.shared_.loop.Now() + kAvoidReuseTime;
     // Once the last byte has been sent, the target may have run the request; before that, it cannot have.
     egress.Finish(
@@ -84,7 +84,7 @@
     // The target's close or late bytes of an earlier response may have arrived and not been read yet; a
     // request sent now would be reset or matched with the wrong response.
     const net::Stream::Unread unread = c.stream.Peek();
-    if (net::Same(c.at, at) && unread == net::Stream::Unread::kNothing) {
+    if (net::SameAddress(c.at, at) && unread == net::Stream::Unread::kNothing) {
       c.reused = true;
       Begin(c, std::move(compose), response_timeout, id, std::move(done));
       return id;
@@ -99,7 +99,7 @@
     *timer = std::make_unique<net::Timer>(shared_.loop, [this, timer, done = std::move(done)] {
       auto keep = std::move(*timer);
       done({CallResult::Kind::kNoDescriptor, {}});
-      shared_.loop.Bury(std::shared_ptr<net::Timer>(std::move(keep)));
+      shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(keep)));
     });
     (*timer)->Start(0);
     return id;
@@ -119,7 +119,7 @@
   c.done = std::move(done);
   calls_[id] = &c;
   c.timer.Stop();
-  if (c.stream.up()) c.SendRequest();
+  if (c.stream.connected()) c.SendRequest();
 }
 
 bool Egress::Cancel(CallId call) {
@@ -128,13 +128,13 @@
   Connection& c = *it->second;
   const bool not_fully_sent = !c.fully_sent();
   calls_.erase(it);
-  Remove(c, net::Reason::kCalledOff);
+  Remove(c, net::Reason::kCancelled);
   return not_fully_sent;
 }
 
 void Egress::ReadPendingData(CallId call) {
   const auto it = calls_.find(call);
-  if (it != calls_.end()) it->second->stream.CatchUp();
+  if (it != calls_.end()) it->second->stream.ReadAllPending();
 }
 
 void Egress::SetResponseTimeout(CallId call, Micros response_timeout) {
@@ -159,7 +159,7 @@
     Remove(c, result.kind == CallResult::Kind::kResponse     ? net::Reason::kAnswered
               : result.kind == CallResult::Kind::kTimedOut   ? net::Reason::kNoAnswer
               : result.kind == CallResult::Kind::kSendFailed ? net::Reason::kConnectFailed
-              : result.kind == CallResult::Kind::kWithdrawn  ? net::Reason::kCalledOff
+              : result.kind == CallResult::Kind::kWithdrawn  ? net::Reason::kCancelled
                                                              : net::Reason::kBadMessage);
   }
   if (done) done(result);
@@ -172,7 +172,7 @@
   const auto it =
       std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
   if (it == connections_.end()) return;
-  shared_.loop.Bury(std::move(*it));
+  shared_.loop.DestroyLater(std::move(*it));
   connections_.erase(it);
 }
 
@@ -188,7 +188,7 @@
 bool Egress::CloseOldestIdle() {
   for (const auto& c : connections_) {
     if (c->call != 0) continue;
-    Remove(*c, net::Reason::kMakeRoom);
+    Remove(*c, net::Reason::kEvicted);
     return true;
   }
   return false;
--- a/src/fronts/http/egress.h
+++ b/src/fronts/http/egress.h
@@ -54,7 +54,7 @@
   // Reports the end of a connection attempt: established (`came_up`), or refused by the target's machine.
   using DialEnded = std::function<void(core::TargetId, bool came_up)>;
 
-  Egress(net::Shared& shared, const Limits& limits, DialEnded dial_ended = nullptr)
+  Egress(net::StreamContext& shared, const Limits& limits, DialEnded dial_ended = nullptr)
       : shared_(shared),
         limits_(limits),
         dial_ended_(std::move(dial_ended)),
@@ -95,7 +95,7 @@
   }
   bool AvoidsReuse() const { return shared_.loop.Now() < avoid_reuse_until_; }
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   Limits limits_;
   DialEnded dial_ended_;
   net::Timer close_borrowed_;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -61,8 +61,8 @@
   return Budget::From(sockets, static_cast<std::size_t>(config.memory_mb) * 1024 * 1024, others);
 }
 
-Front::Front(net::Shared& shared, const config::Config& config, const config::Options& options, bool faktory,
-             match::Service* rules, std::function<void()> drained)
+Front::Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+             bool faktory, match::Service* rules, std::function<void()> drained)
     : shared_(shared),
       config_(config),
       rules_(rules),
@@ -81,7 +81,8 @@
       driver_(
           shared.loop, config.module.settings, config.seed, kHopAcceptTimeout, options.limits,
           [this](core::Effect& e) { Execute(e); },
-          durable::Open(options.durable, "http", config.classes, config.module.settings, config.seed + 4),
+          durable::OpenStore(options.durable, "http", config.classes, config.module.settings,
+                             config.seed + 4),
           "http"),
       watch_(shared, routes_, config.discovery, config.seed + 10, config.module.settings.stop_sending_within,
              [this](core::RoutesChanged change) {
@@ -89,15 +90,15 @@
                driver_.Post(std::move(change));
              }),
       listener_(
-          shared.loop, config.listen, options.limits.accepts,
+          shared.loop, config.listen, options.limits.accept,
           [this](bool must) { return FreeDescriptor(must); },
           [this](int fd, const net::Address& from) { OnAccepted(fd, from); }),
       close_idle_(shared.loop, [this] { CloseIdle(); }) {
   if (durable()) driver_.Post(core::StoreLoaded{});
   // The age of the configured list is unknown; the reducer uses it once the watch reports that it may.
-  routes_.Take(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
+  routes_.Apply(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
-  watch_.Begin();
+  watch_.ScheduleFirstCall();
 }
 
 Front::~Front() { watch_.Stop(); }
@@ -149,7 +150,8 @@
 
 bool Front::Ready() const {
   const auto& r = driver_.reducer();
-  return watch_.usable() && routes_.AnyReady() && !r.draining() && !r.cordoned() && !driver_.StoreFull();
+  return watch_.usable() && routes_.AnyReady() && !r.draining() && !r.cordoned() &&
+         !driver_.StoreUnavailable();
 }
 
 std::size_t Front::CountUnselectableTargets() const {
@@ -167,11 +169,11 @@
 
 // The rules may define other groups of targets.
 void Front::RulesChanged() {
-  core::RoutesChanged change = routes_.Regroup();
+  core::RoutesChanged change = routes_.RefreshGroups();
   if (watch_.usable()) driver_.Post(std::move(change));
 }
 
-void Front::SetDiscoveryAddress(const net::Address& at) { watch_.MoveTo(at); }
+void Front::SetDiscoveryAddress(const net::Address& at) { watch_.SetAddress(at); }
 
 void Front::OnAccepted(int fd, const net::Address& from) {
   OnIngressAvailable();
@@ -216,9 +218,9 @@
     }
     const auto oldest = InStage(stage).front();
     // The request may have arrived and not been read yet, as happens under a flood of connections.
-    if (oldest->stream.ReadWaiting()) continue;
+    if (oldest->stream.ReadPending()) continue;
     ++evicted_;
-    Remove(*oldest, net::Reason::kMakeRoom);
+    Remove(*oldest, net::Reason::kEvicted);
     return true;
   }
   OnIngressFull();
@@ -255,7 +257,7 @@
       Ingress& idle = *InStage(stage).front();
       if (idle.discarding) {  // it has its response and its own timeout
         InStage(stage).splice(InStage(stage).end(), InStage(stage), idle.list_position);
-      } else if (!idle.stream.ReadWaiting()) {
+      } else if (!idle.stream.ReadPending()) {
         Remove(idle, net::Reason::kShutdown);
       }
     }
@@ -265,7 +267,7 @@
     if (recent->removed || recent->reader.started() ||
         shared_.loop.Now() - recent->connected_at <= kSilentTime)
       continue;
-    if (!recent->stream.ReadWaiting() && !recent->removed) Remove(*recent, net::Reason::kShutdown);
+    if (!recent->stream.ReadPending() && !recent->removed) Remove(*recent, net::Reason::kShutdown);
   }
   if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
     if (!std::exchange(rejecting_, true)) LogStopState("refusing");
@@ -279,7 +281,7 @@
 void Front::RejectIncomplete() {
   for (const Stage stage : {Stage::kNew, Stage::kReceiving}) {
     for (const auto& incomplete : ConnectionList(InStage(stage))) {
-      if (incomplete->removed || !incomplete->reader.started() || incomplete->stream.ReadWaiting()) continue;
+      if (incomplete->removed || !incomplete->reader.started() || incomplete->stream.ReadPending()) continue;
       if (!incomplete->removed && incomplete->reader.started())
         incomplete->RejectAndDiscard(503, "shutting down\n");
     }
@@ -327,8 +329,8 @@
   callback.id = root["id"].asString();
   auto from = routes_.IdOf(root["from"].asString());
   // After a crash, a callback may arrive before discovery has listed its sender.
-  if (!from && durable() && reducer().keeper()->book().Find(callback.id) != nullptr)
-    from = discovery::RouteTable::UsualIdOf(root["from"].asString());
+  if (!from && durable() && reducer().job_manager()->table().Find(callback.id) != nullptr)
+    from = discovery::RouteTable::DefaultIdOf(root["from"].asString());
   // While one process replaces another on the same address, a callback may reach the process that never held
   // the job. It is rejected and its connection closed, so that the worker retries on a new connection, which
   // the kernel may assign to the process that holds the job.
@@ -338,8 +340,8 @@
   }
   const bool held_elsewhere = forward_report_ && found != kStates.end() &&
                               !reducer().IsPending(callback.id) &&
-                              reducer().keeper()->book().Find(callback.id) == nullptr;
-  if (held_elsewhere && !from) from = discovery::RouteTable::UsualIdOf(root["from"].asString());
+                              reducer().job_manager()->table().Find(callback.id) == nullptr;
+  if (held_elsewhere && !from) from = discovery::RouteTable::DefaultIdOf(root["from"].asString());
   if (found == kStates.end() || !from) return ingress.Respond(200, {}, {});
   callback.from = *from;
   callback.state = found->second;
@@ -366,9 +368,9 @@
   }
   if (held_elsewhere) return ForwardCallback(ingress, callback);
   // The worker may discard its result once it is stored, so the response waits for that.
-  const int home = reducer().keeper()->HomeOf(callback.id);
+  const int store_id = reducer().job_manager()->StoreIdOf(callback.id);
   driver_.Post(std::move(callback));
-  RespondWhenStored(ingress, home);
+  RespondWhenStored(ingress, store_id);
 }
 
 // The connection has ended, from either side.
@@ -389,7 +391,7 @@
   incoming_bytes_ -= std::exchange(ingress.counted_bytes, 0);
   --connection_count_;
   auto& connections = InStage(ingress.listed_stage);
-  shared_.loop.Bury(std::move(*ingress.list_position));
+  shared_.loop.DestroyLater(std::move(*ingress.list_position));
   connections.erase(ingress.list_position);
 }
 
@@ -426,7 +428,8 @@
     // A start time in the future cannot have been observed; with it the target would stay in slow start for
     // ever.
     if (advice.since > shared_.loop.Now() + kMaxClockDifference) return;
-    auto change = routes_.Started(advice.target, advice.since, {shared_.loop.Now(), net::Loop::WallClock()});
+    auto change =
+        routes_.RecordRestart(advice.target, advice.since, {shared_.loop.Now(), net::Loop::WallClock()});
     if (change && watch_.usable()) driver_.Post(std::move(*change));
     return;
   }
@@ -441,9 +444,9 @@
 // traffic.
 void Front::OnDialEnded(core::TargetId target, bool came_up) {
   const Micros now = shared_.loop.Now();
-  if (!came_up) return restarts_.Refused(target, now);
-  if (!restarts_.CameUp(target, watch_.heard_at())) return;
-  auto change = routes_.Started(target, now, {now, net::Loop::WallClock()});
+  if (!came_up) return restarts_.ConnectionRefused(target, now);
+  if (!restarts_.ConnectionEstablished(target, watch_.last_answer_at())) return;
+  auto change = routes_.RecordRestart(target, now, {now, net::Loop::WallClock()});
   if (!change) return;
   log::Event(log::Level::kInfo, "restarted", {{"target", routes_.Find(target)->name, true}});
   PublishObservations(*change);
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -16,7 +16,7 @@
 #include "src/cluster/membership/membership.h"
 #include "src/config/config.h"
 #include "src/config/options.h"
-#include "src/discovery/unheard_restarts.h"
+#include "src/discovery/restart_detector.h"
 #include "src/discovery/watch.h"
 #include "src/fronts/http/budget.h"
 #include "src/fronts/http/egress.h"
@@ -35,15 +35,15 @@
  public:
   // `faktory`: the Faktory front is enabled and has its share of the descriptors. `rules`: evaluated for each
   // request; null if there are none. `drained`: called when a graceful shutdown has completed.
-  Front(net::Shared& shared, const config::Config& config, const config::Options& options, bool faktory,
-        match::Service* rules, std::function<void()> drained);
+  Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+        bool faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
   void Drain();  // starts a graceful shutdown; further calls have no effect
   // Starts (`on`) or ends a drain by an operator: /ready answers 503 and idle connections are closed;
   // everything else is served as before.
   void SetCordoned(bool on);
   bool Ready() const;  // the state reported by /ready
-  std::size_t CountListedTargets() const { return routes_.Listed(); }
+  std::size_t CountListedTargets() const { return routes_.CountListed(); }
   // Ready targets that the module would not select for any class.
   std::size_t CountUnselectableTargets() const;
   void SetDiscoveryAddress(const net::Address& at);  // takes effect once the new service has sent its list
@@ -131,14 +131,15 @@
   static void ParseResources(const Message& message, pebblenotch::Request& request);
   match::Service::Judgement EvaluateRules(const Ingress& ingress, const Message& message);
   void HandleCallback(Ingress& ingress, const Message& message);
-  bool durable() const { return reducer().keeper() != nullptr; }
+  bool durable() const { return reducer().job_manager() != nullptr; }
   void Join(Ingress& ingress, const Message& message, const std::string& job, int job_class);
-  static durable::Task ToTask(const Message& message, const pebblenotch::Request& request, std::string alias);
+  static durable::JobSpec ToTask(const Message& message, const pebblenotch::Request& request,
+                                 std::string alias);
   static std::string JobAlias(const std::string& class_name, const std::string& key);
   bool IsDurable(const Pending& pending) const;
   void RemoveJoined(std::map<core::Ticket, Joined>::iterator it);
   void AskToRetry(std::map<core::Ticket, Joined>::iterator it);  // answers that the job is in progress
-  void RespondWhenStored(Ingress& ingress, int home);
+  void RespondWhenStored(Ingress& ingress, int store_id);
   void ForwardCallback(Ingress& ingress, const core::HopCallback& callback);
   bool BeginService(Ingress& ingress);
   // Connections in service or with a response being sent. Jobs without a client have no connection.
@@ -168,14 +169,14 @@
   std::optional<pebblenotch::Report> ParseLoad(std::string_view text) const;
   std::optional<pebblenotch::Report> ToReport(const std::map<std::string, double>& values) const;
 
-  net::Shared& shared_;
+  net::StreamContext& shared_;
   const config::Config& config_;
   match::Service* rules_;
   std::function<void()> drained_;
   std::function<void(const cluster::TargetObservation&)> observation_sink_;  // null without a cluster
   Budget budget_;
   discovery::RouteTable routes_;
-  discovery::UnheardRestarts restarts_;
+  discovery::RestartDetector restarts_;
   Egress egress_;
   net::Driver driver_;
   std::function<std::size_t()> unused_descriptors_;  // null: egress borrows none
--- a/src/fronts/http/hops.cpp
+++ b/src/fronts/http/hops.cpp
@@ -32,7 +32,7 @@
     return false;
   if (!watch_.Valid()) return false;
   const Ingress* client = it->second.client;  // null: a round of a durable job without a waiting client
-  return client == nullptr || !client->stream.PeerGone();
+  return client == nullptr || !client->stream.PeerClosed();
 }
 
 // Formats the request to the target. Req-Deadline-Ms is the time left at the moment of sending.
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -47,7 +47,7 @@
       pipelined_received_at = front.shared_.loop.Now();
       if (pipelined.size() > kMaxPipelinedBytes) stream.PauseReading(true);
     } else {
-      received_at = front.shared_.loop.Now() - stream.SinceLastCame();
+      received_at = front.shared_.loop.Now() - stream.SinceLastReceived();
       Feed(bytes);
     }
     if (stream.open()) front.UpdateStage(*this);
@@ -149,7 +149,7 @@
     // request.
     const bool started = reader.started();
     bool any_data = false;
-    while (stream.open() && !timer.running() && ticket == 0 && stream.ReadWaiting()) {
+    while (stream.open() && !timer.running() && ticket == 0 && stream.ReadPending()) {
       any_data = true;
       if (!started) break;
     }
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -111,11 +111,12 @@
   const auto* idempotency = message.Find("Idempotency-Key");
   const std::string alias =
       durable() && idempotency != nullptr ? JobAlias(*job_class, *idempotency) : std::string();
-  if (const auto* job = alias.empty() ? nullptr : reducer().keeper()->book().IdOf(alias); job != nullptr)
+  if (const auto* job = alias.empty() ? nullptr : reducer().job_manager()->table().FindByAlias(alias);
+      job != nullptr)
     return Join(ingress, message, std::string(*job), static_cast<int>(job_class - config_.classes.begin()));
   // Clients use a new id for each request. This protects a request whose hop may still be in flight, or that
   // was just answered, from another one with the same id.
-  if (driver_.reducer().IsKnown(*id) || (durable() && reducer().keeper()->book().Find(*id) != nullptr))
+  if (driver_.reducer().IsKnown(*id) || (durable() && reducer().job_manager()->table().Find(*id) != nullptr))
     return reject(409, "Req-Id is in use");
   core::RequestArrived arrived;
   pebblenotch::Request& r = arrived.request;
@@ -159,7 +160,7 @@
   // Limits memory and descriptors: a request that cannot be held is shed at once, before any work on it.
   if (driver_.reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
       pending_bytes_ + size > budget_.held_bytes || !CanHoldRequest() ||
-      (!alias.empty() && driver_.StoreFull())) {
+      (!alias.empty() && driver_.StoreUnavailable())) {
     ++not_admitted_;
     if (driver_.reducer().limits() == nullptr)
       return ingress.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,7 +14,7 @@
 #include "src/cluster/members_tool.h"
 #include "src/cluster/net/node.h"
 #include "src/config/config.h"
-#include "src/durable/tool.h"
+#include "src/durable/job_commands.h"
 #include "src/fronts/console/endpoints.h"
 #include "src/fronts/faktory/front.h"
 #include "src/fronts/http/front.h"
@@ -45,7 +45,7 @@
     const config::Config next = config::Load(path, config::Reading::kAgain);
     for (const std::string& key : config::NeedsRestart(in_force, next))
       log::Event(log::Level::kWarn, "reload", {{"waits_for_next_start", key}});
-    const bool moved = !net::Same(next.discovery, in_force.discovery);
+    const bool moved = !net::SameAddress(next.discovery, in_force.discovery);
     if (rules != nullptr && rules->Replace(options.match.rules, text)) {
       front.RulesChanged();
       if (second != nullptr) second->RulesChanged();
@@ -73,7 +73,7 @@
 }
 
 // Makes this scheduler a member of its fleet; what the fleet looks like goes to the reducers.
-std::unique_ptr<cluster::Node> JoinFleet(net::Shared& shared, const config::Config& config,
+std::unique_ptr<cluster::Node> JoinFleet(net::StreamContext& shared, const config::Config& config,
                                          const config::Options& options, http::Front& front,
                                          faktory::Front* second,
                                          const cluster::copies::ReplicaManager* copies) {
@@ -95,12 +95,13 @@
 // Whether `join` names another than this member itself.
 bool ExpectsOthers(const cluster::Options& options) {
   return std::any_of(options.join.begin(), options.join.end(), [&options](const net::Address& at) {
-    return !net::Same(at, options.listen) && !net::Same(at, options.advertise);
+    return !net::SameAddress(at, options.listen) && !net::SameAddress(at, options.advertise);
   });
 }
 
 // Null where no copies are kept. The fronts' stores are led through it.
-std::unique_ptr<cluster::copies::ReplicaManager> KeepCopies(net::Shared& shared, const config::Config& config,
+std::unique_ptr<cluster::copies::ReplicaManager> KeepCopies(net::StreamContext& shared,
+                                                            const config::Config& config,
                                                             config::Options& options) {
   if (options.cluster.copies <= 1) return nullptr;
   const cluster::Options& o = options.cluster;
@@ -109,8 +110,8 @@
       cluster::copies::ReplicaManager::Settings{o.fleet, o.name.empty() ? config.name : o.name, o.copies,
                                                 o.copies_listen, o.copies_address_overrides, o.takeover_delay,
                                                 ExpectsOthers(o), options.durable.folder, config.seed + 8});
-  options.durable.copied = [c = copies.get()](const std::string& front,
-                                              std::unique_ptr<durable::SqliteStore> store) {
+  options.durable.replicate = [c = copies.get()](const std::string& front,
+                                                 std::unique_ptr<durable::SqliteStore> store) {
     return c->OpenReplicatedStore(front, std::move(store));
   };
   return copies;
@@ -141,8 +142,8 @@
   using cluster::copies::LookupStatus;
   if (!known_now) return {LookupStatus::kRetry, {}};
   if (job == nullptr) return {LookupStatus::kUnknown, {}};
-  if (job->state != durable::State::kAnswered) return {LookupStatus::kOpen, {}};
-  if (job->answer != durable::Answer::kDone) return {LookupStatus::kFailed, {}};
+  if (job->state != durable::JobState::kFinished) return {LookupStatus::kOpen, {}};
+  if (job->outcome != durable::Outcome::kDone) return {LookupStatus::kFailed, {}};
   return {LookupStatus::kDone, job->text};
 }
 
@@ -152,32 +153,32 @@
     return name == "http" ? &front.driver() : second != nullptr ? &second->driver() : nullptr;
   };
   copies.SetFrontHooks(
-      {[driver](durable::Held held) {
-         if (net::Driver* d = driver(held.front)) d->Hold(std::move(held));
+      {[driver](durable::TransferredJobs held) {
+         if (net::Driver* d = driver(held.front)) d->AdoptJobs(std::move(held));
        },
        [driver](const std::string& group, const std::string& name, bool own) {
-         if (net::Driver* d = driver(name)) d->Lose(group, own);
+         if (net::Driver* d = driver(name)) d->LoseGroup(group, own);
        },
        [driver](const std::string& group, const std::string& name) {
          net::Driver* d = driver(name);
-         return d == nullptr || d->Idle(group);
+         return d == nullptr || d->QuiesceGroup(group);
        },
        [driver](const std::string& name, core::HopCallback news, std::function<void(bool)> told) {
          net::Driver* d = driver(name);
-         return d != nullptr && d->TakeWord(std::move(news), std::move(told));
+         return d != nullptr && d->HandleReport(std::move(news), std::move(told));
        },
        [driver](const std::string& name, const cluster::copies::JobName& job,
                 std::function<void(cluster::copies::LookupResult)> told) {
          net::Driver* d = driver(name);
          if (d == nullptr) return told({});
-         d->Find(job.text, job.is_alias,
-                 [told](const durable::Job* found, bool known_now) { told(VerdictOf(found, known_now)); });
+         d->FindJob(job.text, job.is_alias,
+                    [told](const durable::Job* found, bool known_now) { told(VerdictOf(found, known_now)); });
        }});
   const auto lead = [&copies, driver](const std::string& name) {
     return [&copies, d = driver(name), name](const core::HopCallback& news,
                                              cluster::copies::ReportForwarder::Done told) {
       // It may be among those that are still coming.
-      if (d->coming()) return told(cluster::copies::ForwardOutcome::kRetry);
+      if (d->adopting()) return told(cluster::copies::ForwardOutcome::kRetry);
       copies.ForwardReport(name, news, std::move(told));
     };
   };
@@ -208,7 +209,7 @@
   net::BufferPool pool(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 * 3 / 10 /
                        sizeof(net::Buffer));
   net::Loop loop;
-  net::Shared shared{loop, pool, options.log.connections};
+  net::StreamContext shared{loop, pool, options.log.connections};
   int undrained = faktory.enabled ? 2 : 1;
   const auto drained = [&] {
     if (--undrained == 0) loop.Stop();
@@ -302,7 +303,8 @@
     return front.reducer().pending() > 0 || front.HasUnsentAnswers() ||
            (second && (second->reducer().pending() > 0 || second->Answering()));
   };
-  for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1) busy() ? loop.RunTurn() : loop.RunOnce();
+  for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1)
+    busy() ? loop.WaitAndRunOnce() : loop.RunOnce();
   front.CheckBeforeExit();
   print();
   return 0;
@@ -372,7 +374,7 @@
       ->check(CLI::IsMember({"waiting", "retrying", "held", "done", "failed"}));
   jobs_list->add_option("--class", list.job_class, "Of this class only");
   jobs_list->add_option("--lane", list.lane, "Of this queue only");
-  jobs_list->add_option("--most", list.most, "Rows")->check(CLI::PositiveNumber);
+  jobs_list->add_option("--most", list.max_rows, "Rows")->check(CLI::PositiveNumber);
   jobs_list->add_flag("--json", list.json);
   jobs_show->add_option("ID", job_id)->required();
   jobs_show->add_flag("--json", show_json);
@@ -421,8 +423,8 @@
     if (rule_format->parsed()) return match::FormatFile(rule_path, format_write, format_check);
     if (jobs_list->parsed()) return durable::ListJobs(store_path, list);
     if (jobs_show->parsed()) return durable::ShowJob(store_path, job_id, show_json);
-    if (jobs_retry->parsed()) return durable::OrderJobs(store_path, "retry", job_ids);
-    if (jobs_discard->parsed()) return durable::OrderJobs(store_path, "discard", job_ids);
+    if (jobs_retry->parsed()) return durable::RunJobCommand(store_path, "retry", job_ids);
+    if (jobs_discard->parsed()) return durable::RunJobCommand(store_path, "discard", job_ids);
     if (jobs_export->parsed()) return durable::ExportJobs(store_path);
     if (jobs_verify->parsed()) return durable::VerifyStore(store_path);
     if (jobs_snapshot->parsed()) return durable::SnapshotStore(store_path, copy_path);
