--- a/src/fronts/faktory/connection.h
+++ b/src/fronts/faktory/connection.h
@@ -1,5 +1,4 @@
-// What the Faktory front keeps of its peers: connections, workers with their hops, and jobs. Internal to
-// the front.
+// The Faktory front's state per connection, worker, hop and job. Internal to the front.
 #ifndef HERONWAY_FRONTS_FAKTORY_CONNECTION_H_
 #define HERONWAY_FRONTS_FAKTORY_CONNECTION_H_
 
@@ -13,125 +12,136 @@
 
 namespace heronway::faktory {
 
-inline constexpr std::size_t kMostAhead = 2 * kMostLine;
-inline constexpr std::size_t kMostBeforeHello = 4 * 1024;
+// Unprocessed input per connection, in bytes: after HELLO, and before it.
+inline constexpr std::size_t kMaxBufferedBytes = 2 * kMaxLineBytes;
+inline constexpr std::size_t kMaxBytesBeforeHello = 4 * 1024;
 
+// A connection of a client or of a worker.
 struct Front::Connection : net::Stream::Owner, std::enable_shared_from_this<Front::Connection> {
   Connection(Front& owner, int fd, const net::Address& from)
       : front(owner),
-        timer(owner.shared_.loop, [this] { OnTimer(); }),
-        stream(owner.shared_, fd, "faktory " + net::ToText(from), *this),
-        since(owner.shared_.loop.Now()),
+        timer(owner.context_.loop, [this] { OnTimer(); }),
+        stream(owner.context_, fd, "faktory " + net::ToText(from), *this),
+        connected_at(owner.context_.loop.Now()),
         peer(from) {
-    timer.Start(kHelloTime);
+    timer.Start(kHelloTimeout);
   }
 
   void OnData(std::string_view bytes) override {
-    heard = front.shared_.loop.Now();
-    if (closing) return;  // it was told that no more is read
-    const std::size_t most = greeted ? kMostAhead : kMostBeforeHello;
-    if (in.size() + bytes.size() > most) return front.Remove(*this, net::Reason::kTooLarge);
-    in.append(bytes);
-    ServeLines();
-    if (stream.open()) Count(in.size());
-    // Guards memory against many that bring in long lines at once.
-    if (stream.open() && front.incoming_bytes_ > front.most_bytes_ && !in.empty())
+    last_received = front.context_.loop.Now();
+    if (closing) return;  // the last reply is on its way; further input is ignored
+    const std::size_t limit = hello_done ? kMaxBufferedBytes : kMaxBytesBeforeHello;
+    if (input.size() + bytes.size() > limit) return front.Remove(*this, net::Reason::kTooLarge);
+    input.append(bytes);
+    ProcessLines();
+    if (stream.open()) CountBuffered(input.size());
+    // Bounds the memory for many connections that send long lines at the same time.
+    if (stream.open() && front.buffered_bytes_ > front.max_bytes_ && !input.empty())
       front.Remove(*this, net::Reason::kNoMemory);
   }
-  void Count(std::size_t holds) { front.incoming_bytes_ += holds - std::exchange(counted, holds); }
+  // Updates this connection's part of the front's total of buffered input.
+  void CountBuffered(std::size_t bytes) {
+    front.buffered_bytes_ += bytes - std::exchange(buffered_bytes, bytes);
+  }
 
-  // One command at a time: what comes behind a PUSH or FETCH that is not answered yet waits.
-  void ServeLines() {
-    if (std::exchange(serving, true)) return;
+  // Processes buffered commands one at a time. A command behind a PUSH or FETCH that has no reply yet
+  // waits.
+  void ProcessLines() {
+    if (std::exchange(processing, true)) return;
     while (!busy() && !closing && stream.open()) {
-      const auto end = in.find('\n');
-      if (end == in.npos) break;
-      std::string line = in.substr(0, end);
-      in.erase(0, end + 1);
+      const auto end = input.find('\n');
+      if (end == input.npos) break;
+      std::string line = input.substr(0, end);
+      input.erase(0, end + 1);
       if (!line.empty() && line.back() == '\r') line.pop_back();
-      if (line.size() > kMostLine) {
-        Refuse("the line is longer than 64 KiB");
+      if (line.size() > kMaxLineBytes) {
+        RejectAndClose("the line is longer than 64 KiB");
       } else {
-        front.Serve(*this, line);
+        front.ProcessCommand(*this, line);
       }
     }
-    if (!busy() && !closing && stream.open() && in.size() > kMostLine)
-      Refuse("the line is longer than 64 KiB");
-    serving = false;
+    if (!busy() && !closing && stream.open() && input.size() > kMaxLineBytes)
+      RejectAndClose("the line is longer than 64 KiB");
+    processing = false;
   }
 
-  void Refuse(const char* why) {
+  // Replies with an error, after which the connection is closed.
+  void RejectAndClose(const char* message) {
     closing = true;
-    Send(Error(why));
+    Send(Error(message));
   }
 
   void Send(std::string_view reply) {
-    timer.Start(kReadTime);
+    timer.Start(kReplyReadTimeout);
     stream.Write(reply);
-    if (stream.open() && !busy() && !closing) ServeLines();
+    if (stream.open() && !busy() && !closing) ProcessLines();
   }
 
   void OnSent() override {
-    // Guards the last reply against what the peer is still sending: a close over bytes that are not read
-    // resets the connection, and the reply is lost with it.
+    // Only the sending side is shut down first: closing a socket with unread input resets the connection,
+    // and the last reply would be lost.
     if (closing) {
       stream.FinishWriting(net::Reason::kAnswered);
-      return timer.Start(kLinger);
+      return timer.Start(kCloseTimeout);
     }
-    // Guards against one that keeps its connection by what it sends, and never says HELLO.
-    if (!busy()) timer.Start(greeted ? kSilence : since + kHelloTime - front.shared_.loop.Now());
+    // Before HELLO the time limit counts from connecting, so that a peer cannot extend it by sending input.
+    if (!busy())
+      timer.Start(hello_done ? kIdleTimeout : connected_at + kHelloTimeout - front.context_.loop.Now());
   }
-  void OnEnd(net::Reason) override { front.Gone(*this); }
+  void OnEnd(net::Reason) override { front.OnDisconnected(*this); }
 
   void OnTimer();
 
-  bool busy() const { return job != nullptr || fetching || storing; }
+  bool busy() const { return job != nullptr || fetching || awaiting_store; }
 
   Front& front;
-  net::Timer timer;  // greeting, idling, being read, or waiting in FETCH
+  net::Timer timer;  // limit for HELLO, idling, the peer reading a reply, or a waiting FETCH
   net::Stream stream;
-  Micros since;  // when it connected
+  Micros connected_at;
   net::Address peer;
-  std::string in, salt;
-  std::size_t counted = 0;  // its part of the front's incoming bytes
-  bool greeted = false, closing = false, serving = false;
-  Micros heard = 0;
-  Worker* worker = nullptr;
-  Job* job = nullptr;  // whose PUSH waits here
-  bool fetching = false;
-  bool storing = false;             // its reply waits for the store
-  std::vector<std::string> queues;  // that the waiting FETCH names
+  std::string input, salt;         // unprocessed bytes; the salt of the password hash
+  std::size_t buffered_bytes = 0;  // its part of the front's buffered_bytes_
+  bool hello_done = false, closing = false, processing = false;
+  Micros last_received = 0;
+  Worker* worker = nullptr;         // null for a client
+  Job* job = nullptr;               // the job whose PUSH waits for its reply
+  bool fetching = false;            // a FETCH waits for its reply
+  bool awaiting_store = false;      // a reply waits for the store or another scheduler
+  std::vector<std::string> queues;  // named by the waiting FETCH
 };
 
+// A hop that is assigned to a worker.
 struct Front::Hop {
   Job* job = nullptr;  // null once the hop is over
   int number = 0;
-  Micros sent = 0;
-  Connection* on = nullptr;  // where it was delivered; null: it waits
-  std::unique_ptr<net::Timer> patience;
+  Micros sent_at = 0;
+  Connection* connection = nullptr;  // to which it was delivered; null: it waits for a FETCH
+  std::unique_ptr<net::Timer> delivery_timer;
 };
 
+// A worker process, an egress target.
 struct Front::Worker {
   std::string wid;
   core::TargetId target = 0;
   int zone = 0;
   std::vector<std::string> labels;
-  Micros since = 0;
+  Micros connected_at = 0;
   pebblenotch::WorkerState state = pebblenotch::WorkerState::kReady;
   std::vector<Connection*> connections;
-  std::list<Hop> hops;  // waiting and delivered, oldest first
+  std::list<Hop> hops;  // waiting and delivered ones, oldest first
 };
 
+// A job from its PUSH, or the start of a durable job's round, until its final outcome.
 struct Front::Job {
   std::string jid, queue, text;
   int job_class = 0;
   core::Ticket ticket = 0;
   Micros deadline = 0;
-  Connection* client = nullptr;  // null while it is away
-  bool round = false;            // of a durable job: nobody waits for its end here
+  Connection* client = nullptr;  // null while it is disconnected
+  bool is_round = false;         // a round of a durable job: no client waits for its end
 
-  // Asked when a hop is about to leave: the client's end may be here already, and only not read yet.
-  bool client_gone() const { return !round && (client == nullptr || client->stream.PeerClosed()); }
+  // Checked before a hop is delivered: the client may have disconnected without that being read yet.
+  bool client_disconnected() const { return !is_round && (client == nullptr || client->stream.PeerClosed()); }
 };
 
 }  // namespace heronway::faktory
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -1,5 +1,5 @@
-// The Faktory front with durable jobs: a PUSH is answered when its job is stored, a job's rounds come back
-// from the store, and what a worker says counts for jobs from before a crash as well.
+// Durable jobs in the Faktory front: a PUSH is answered when its job is stored, rounds of stored jobs are
+// started as requests, and workers' reports are accepted for jobs from before a restart as well.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -12,121 +12,125 @@
 namespace heronway::faktory {
 namespace {
 
-constexpr int kRetries = 25;  // the protocol's own number, where a job doesn't say
-constexpr const char* kUnknown = "STORE it is not known whether this is stored; say it again";
+constexpr int kDefaultRetries = 25;  // the protocol's default for jobs without `retry`
+constexpr const char* kStoreUnknownError = "STORE it is not known whether this is stored; say it again";
 
-constexpr const char* kMayBeElsewhere = "NOTHELD another may have this job; push it again";
-constexpr Micros kLookUpTime = 600'000;  // less than any process has to stop
-constexpr const char* kNotNow = "NOTHELD nobody holds this job at this moment; say it again";
+constexpr const char* kMayBeElsewhereError = "NOTHELD another may have this job; push it again";
+// Shorter than the time that any process has to stop.
+constexpr Micros kJobLookupTimeout = 600'000;
+constexpr const char* kNoHolderError = "NOTHELD nobody holds this job at this moment; say it again";
 
 }  // namespace
 
-// With durable jobs a worker is known again over restarts of either side: by its wid alone.
-core::TargetId Front::TargetOf(const std::string& wid) {
+// With durable jobs the id is derived from the wid alone, so that a worker keeps it over restarts of either
+// side.
+core::TargetId Front::TargetIdFor(const std::string& wid) {
   if (!durable()) return ++last_target_;
   core::TargetId id = XXH3_64bits(wid.data(), wid.size());
-  // Guards the one who holds a lease against another whose wid has the same hash.
+  // On a hash collision another id is used, as the other worker may hold leases under this one.
   while (id == 0 || targets_.contains(id)) ++id;
   return id;
 }
 
 void Front::ReplyWhenStored(Connection& c, std::string line, int store_id) {
-  c.storing = true;
+  c.awaiting_store = true;
   c.timer.Stop();
   driver_.WhenStored(
-      [at = c.weak_from_this(), line = std::move(line)](bool stored) {
-        const auto c = at.lock();
-        if (c == nullptr || !c->stream.open() || !std::exchange(c->storing, false)) return;
-        c->Send(stored ? line : Error(kUnknown));
+      [weak = c.weak_from_this(), line = std::move(line)](bool stored) {
+        const auto c = weak.lock();
+        if (c == nullptr || !c->stream.open() || !std::exchange(c->awaiting_store, false)) return;
+        c->Send(stored ? line : Error(kStoreUnknownError));
       },
       store_id);
 }
 
-// Refuses the client where no job can be taken now.
-bool Front::CanTake(Connection& c) {
+// Replies with SHED and returns false where no job can be accepted now.
+bool Front::CheckCanStore(Connection& c) {
   if (!driver_.StoreUnavailable() && !reducer().draining()) return true;
-  ++turned_away_;
+  ++shed_;
   c.Send(Error(reducer().draining() ? "SHED it stops; come back in 1.000 s"
                                     : "SHED the store can take no more now; come back in 1.000 s"));
   return false;
 }
 
-void Front::PushDurable(Connection& c, faktory::Job& spec, std::string_view rest,
-                        const match::Service::Judgement& judged) {
-  if (!CanTake(c)) return;
+void Front::PushDurable(Connection& c, PushedJob& spec, std::string_view arguments,
+                        const match::Service::Judgement& judgement) {
+  if (!CheckCanStore(c)) return;
   core::JobSubmitted submitted;
   submitted.id = spec.jid;
   durable::JobSpec& task = submitted.task;
   task.job_class = spec.job_class;
-  task.text = rest;
+  task.text = arguments;
   task.lane = spec.queue;
-  task.retries = spec.retry.value_or(kRetries);
-  if (judged.repeats) task.retries = std::min(task.retries, *judged.repeats);
-  task.priority = judged.priority;
+  task.retries = spec.retry.value_or(kDefaultRetries);
+  if (judgement.repeats) task.retries = std::min(task.retries, *judgement.repeats);
+  task.priority = judgement.priority;
   task.key = spec.key;
   task.not_before = spec.at;
-  if (!look_up_job_) return TakeDurable(c, std::move(submitted));
-  c.storing = true;
+  if (!job_lookup_) return SubmitDurable(c, std::move(submitted));
+  c.awaiting_store = true;
   c.timer.Stop();
   const std::string jid = submitted.id;
-  look_up_job_(jid, kLookUpTime,
-               [this, at = c.weak_from_this(),
-                submitted = std::move(submitted)](const cluster::copies::LookupResult& result) {
-                 using cluster::copies::LookupStatus;
-                 const auto c = at.lock();
-                 if (c == nullptr || !c->stream.open() || !std::exchange(c->storing, false)) return;
-                 if (result.status == LookupStatus::kUnknown) return TakeDurable(*c, submitted);
-                 if (result.status == LookupStatus::kRetry) return c->Send(Error(kMayBeElsewhere));
-                 ++joined_;
-                 c->Send(Simple("OK"));
-               });
+  job_lookup_(jid, kJobLookupTimeout,
+              [this, weak = c.weak_from_this(),
+               submitted = std::move(submitted)](const cluster::copies::LookupResult& result) {
+                using cluster::copies::LookupStatus;
+                const auto c = weak.lock();
+                if (c == nullptr || !c->stream.open() || !std::exchange(c->awaiting_store, false)) return;
+                if (result.status == LookupStatus::kUnknown) return SubmitDurable(*c, submitted);
+                if (result.status == LookupStatus::kRetry) return c->Send(Error(kMayBeElsewhereError));
+                ++joined_;
+                c->Send(Simple("OK"));
+              });
 }
 
-void Front::TakeDurable(Connection& c, core::JobSubmitted submitted) {
-  if (!CanTake(c)) return;
+void Front::SubmitDurable(Connection& c, core::JobSubmitted submitted) {
+  if (!CheckCanStore(c)) return;
   const std::string jid = submitted.id;
   driver_.Post(std::move(submitted));
   ReplyWhenStored(c, Simple("OK"), reducer().job_manager()->StoreIdOf(jid));
 }
 
-// The worker hears that its word counts when it is stored: until then it must not forget the job.
-void Front::AckDurable(Connection& c, core::HopCallback news) {
-  if (lead_word_ && reducer().job_manager()->table().Find(news.id) == nullptr) {
-    c.storing = true;
+// The reply is sent when the report is stored: until then the worker must not forget the job.
+void Front::AckDurable(Connection& c, core::HopCallback report) {
+  if (forward_report_ && reducer().job_manager()->table().Find(report.id) == nullptr) {
+    c.awaiting_store = true;
     c.timer.Stop();
-    return lead_word_(news, [this, at = c.weak_from_this()](cluster::copies::ForwardOutcome outcome) {
-      const auto c = at.lock();
-      if (c == nullptr || !c->stream.open() || !std::exchange(c->storing, false)) return;
-      late_acks_ += outcome == cluster::copies::ForwardOutcome::kUnknownJob ? 1 : 0;
-      c->Send(outcome == cluster::copies::ForwardOutcome::kRetry ? Error(kNotNow) : Simple("OK"));
-    });
+    return forward_report_(
+        report, [this, weak = c.weak_from_this()](cluster::copies::ForwardOutcome outcome) {
+          const auto c = weak.lock();
+          if (c == nullptr || !c->stream.open() || !std::exchange(c->awaiting_store, false)) return;
+          late_acks_ += outcome == cluster::copies::ForwardOutcome::kUnknownJob ? 1 : 0;
+          c->Send(outcome == cluster::copies::ForwardOutcome::kRetry ? Error(kNoHolderError) : Simple("OK"));
+        });
   }
-  const auto late = reducer().counters().late_callbacks;
-  const int store_id = reducer().job_manager()->StoreIdOf(news.id);
-  driver_.Post(std::move(news));
-  late_acks_ += reducer().counters().late_callbacks - late;
+  const auto late_before = reducer().counters().late_callbacks;
+  const int store_id = reducer().job_manager()->StoreIdOf(report.id);
+  driver_.Post(std::move(report));
+  late_acks_ += reducer().counters().late_callbacks - late_before;
   ReplyWhenStored(c, Simple("OK"), store_id);
 }
 
-// A round of a stored job: a request as any other, but that nobody waits for it here.
+// Starts a round of a stored job: a request without a client that waits for its outcome.
 void Front::Do(core::StartRound& e) {
   const durable::Job* stored = reducer().job_manager()->table().Find(e.id);
   core::RequestArrived arrived;
-  auto owned = std::make_unique<Job>();
-  Job& job = *owned;
+  auto new_job = std::make_unique<Job>();
+  Job& job = *new_job;
   try {
-    if (stored == nullptr || jobs_.contains(e.id)) throw Fault("there is no such job");
-    const faktory::Job spec = ParseJob(stored->text, config_.classes, true, true);
+    if (stored == nullptr || jobs_.contains(e.id)) throw ProtocolError("there is no such job");
+    const PushedJob spec = ParseJob(stored->text, config_.classes, true, true);
     const auto& settings = config_.module.settings.classes[static_cast<std::size_t>(stored->job_class)];
-    Micros patience = spec.deadline.value_or(settings.deadline);
-    if (spec.reserved) patience = std::max(patience, spec.reserve_for);
-    job.deadline = shared_.loop.Now() + patience;
+    Micros time_limit = spec.deadline.value_or(settings.deadline);
+    if (spec.reserved) time_limit = std::max(time_limit, spec.reserve_for);
+    job.deadline = context_.loop.Now() + time_limit;
     arrived.hop_timeout = spec.reserve_for;
-    // Which targets it may go to is asked anew, as rules may have changed; the rest was judged when it came.
+    // The permitted targets are determined again, as rules may have changed; all else was decided at the
+    // PUSH.
     if (rules_ != nullptr)
       arrived.request.required_groups =
-          rules_->Judge(shared_.loop.Now(), AsRequest(spec, stored->text.size()), true).only;
-  } catch (const Fault&) {
+          rules_->Judge(context_.loop.Now(), ToMatchRequest(spec, stored->text.size()), true).only;
+  } catch (const ProtocolError&) {
     return driver_.Post(core::RoundInvalid{e.id});
   }
   job.jid = e.id;
@@ -134,10 +138,10 @@
   job.text = stored->text;
   job.job_class = stored->job_class;
   job.ticket = ++last_ticket_;
-  job.round = true;
-  held_bytes_ += job.text.size();
+  job.is_round = true;
+  job_bytes_ += job.text.size();
   tickets_[job.ticket] = &job;
-  jobs_[job.jid] = std::move(owned);
+  jobs_[job.jid] = std::move(new_job);
   arrived.round = true;
   arrived.id = arrived.client = e.id;
   arrived.request.id = job.ticket;
@@ -148,11 +152,11 @@
   driver_.Post(std::move(arrived));
 }
 
-void Front::InfoOfStore(Json::Value& faktory) const {
+void Front::AddStoreInfo(Json::Value& faktory) const {
   using Status = durable::JobTable::Status;
   const durable::JobManager& job_manager = *reducer().job_manager();
   const durable::JobTable& table = job_manager.table();
-  const auto size = [&table](Status place) { return Json::UInt64(table.Count(place)); };
+  const auto size = [&table](Status status) { return Json::UInt64(table.Count(status)); };
   const auto later = std::min(job_manager.delayed(), table.Count(Status::kWaiting));
   Json::Value& queues = faktory["queues"] = Json::objectValue;
   for (const auto& [lane, waiting] : table.waiting_per_lane()) queues[lane] = Json::UInt64(waiting);
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -18,12 +18,12 @@
 using core::Result;
 using pebblenotch::WorkerState;
 
-constexpr int kHashRounds = 4096;
-constexpr std::size_t kMostLabels = 32;  // of a worker; what it names beyond these counts for nothing
+constexpr int kPasswordHashRounds = 4096;
+constexpr std::size_t kMaxWorkerLabels = 32;  // further labels of a worker are ignored
 
-// Workers come to this scheduler alone and tell their load themselves: there is no list to ask for, none to
-// probe, and no other node that sends to them.
-pebblenotch::Settings FleetOf(pebblenotch::Settings settings) {
+// The settings for targets that connect to this scheduler only and report their load themselves: there is
+// no target list to subscribe to, no target to probe, and no other scheduler that sends to them.
+pebblenotch::Settings AdaptSettings(pebblenotch::Settings settings) {
   settings.must_subscribe = settings.may_probe = false;
   settings.reports_in_answers = settings.worker_reports_start = settings.may_cancel = true;
   settings.nodes = 1;
@@ -35,38 +35,41 @@
 void Front::Connection::OnTimer() {
   if (fetching) {
     fetching = false;
-    if (worker != nullptr) front.TellLoad(*worker);
+    if (worker != nullptr) front.PublishLoad(*worker);
     return Send(kNull);
   }
   if (!stream.all_sent()) return front.Remove(*this, net::Reason::kSlowReader);
   if (closing) return front.Remove(*this, net::Reason::kAnswered);
-  // A worker's connections are alive while any of them speaks: one runs a job while another beats.
+  // A worker's connections stay open while any of them is active: one may run a job while another sends
+  // BEAT.
   if (worker != nullptr) {
     Micros last = 0;
-    for (const Connection* c : worker->connections) last = std::max(last, c->heard);
-    if (const Micros left = last + kSilence - front.shared_.loop.Now(); left > 0) return timer.Start(left);
+    for (const Connection* c : worker->connections) last = std::max(last, c->last_received);
+    if (const Micros left = last + kIdleTimeout - front.context_.loop.Now(); left > 0)
+      return timer.Start(left);
   }
-  front.Remove(*this, greeted ? net::Reason::kIdle : net::Reason::kSlowRequest);
+  front.Remove(*this, hello_done ? net::Reason::kIdle : net::Reason::kSlowRequest);
 }
 
-Front::Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+Front::Front(net::StreamContext& context, const config::Config& config, const config::Options& options,
              const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained)
-    : shared_(shared),
+    : context_(context),
       config_(config),
       faktory_(faktory),
       rules_(rules),
       drained_(std::move(drained)),
       driver_(
-          shared.loop, FleetOf(config.module.settings), config.seed + 1, 0, options.limits,
+          context.loop, AdaptSettings(config.module.settings), config.seed + 1, 0, options.limits,
           [this](core::Effect& e) { Execute(e); },
-          durable::OpenStore(options.durable, "faktory", config.classes, FleetOf(config.module.settings),
-                             config.seed + 3),
+          durable::OpenStore(options.durable, "faktory", config.classes,
+                             AdaptSettings(config.module.settings), config.seed + 3),
           "faktory"),
       listener_(
-          shared.loop, faktory.listen, options.limits.accept, [this](bool must) { return MakeRoom(must); },
-          [this](int fd, const net::Address& from) { Accepted(fd, from); }),
-      most_bytes_(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 / 16) {
-  // Its part of the descriptors; the HTTP front's parts leave this much.
+          context.loop, faktory.listen, options.limits.accept,
+          [this](bool required) { return ReserveDescriptor(required); },
+          [this](int fd, const net::Address& from) { OnAccept(fd, from); }),
+      max_bytes_(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 / 16) {
+  // This front's part of the descriptors, which the HTTP front's budget leaves free.
   faktory_.most_connections = std::min(faktory_.most_connections, std::max(1, config.sockets / 10));
   if (durable()) driver_.Post(core::StoreLoaded{});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
@@ -74,15 +77,14 @@
 
 Front::~Front() = default;
 
-// ---- connections
-void Front::Accepted(int fd, const net::Address& from) {
+void Front::OnAccept(int fd, const net::Address& from) {
   connections_.push_back(std::make_shared<Connection>(*this, fd, from));
   if (driver_.reducer().limits() != nullptr) driver_.Post(core::IngressConnected{});
   Connection& c = *connections_.back();
   Json::Value hi;
   hi["v"] = 2;
   if (!faktory_.password.empty()) {
-    hi["i"] = kHashRounds;
+    hi["i"] = kPasswordHashRounds;
     hi["s"] = c.salt = RandomSalt();
   }
   Json::StreamWriterBuilder compact;
@@ -90,13 +92,13 @@
   c.Send(Simple("HI " + Json::writeString(compact, hi)));
 }
 
-bool Front::Answering() const {
+bool Front::HasUnsentAnswers() const {
   return std::any_of(connections_.begin(), connections_.end(),
-                     [](const auto& c) { return c->storing || !c->stream.all_sent(); });
+                     [](const auto& c) { return c->awaiting_store || !c->stream.all_sent(); });
 }
 
-bool Front::MakeRoom(bool must) {
-  if (!must && connections_.size() < static_cast<std::size_t>(faktory_.most_connections)) return true;
+bool Front::ReserveDescriptor(bool required) {
+  if (!required && connections_.size() < static_cast<std::size_t>(faktory_.most_connections)) return true;
   const auto it = std::find_if(connections_.begin(), connections_.end(), [](const auto& c) {
     return c->worker == nullptr && !c->busy() && c->stream.all_sent();
   });
@@ -107,15 +109,16 @@
 
 void Front::Remove(Connection& c, net::Reason reason) {
   c.stream.Close(reason);
-  Gone(c);
+  OnDisconnected(c);
 }
 
-void Front::Gone(Connection& c) {
+void Front::OnDisconnected(Connection& c) {
   c.timer.Stop();
-  c.Count(0);
+  c.CountBuffered(0);
   c.closing = true;
   c.fetching = false;
-  // A client that went away may come back for its job: what a worker has goes on, and nothing more is sent.
+  // A disconnected client may reconnect for its job: hops that a worker has go on, but no further hop is
+  // delivered.
   if (Job* job = std::exchange(c.job, nullptr); job != nullptr) {
     job->client = nullptr;
     driver_.Post(core::IngressDetached{job->ticket, true});
@@ -124,14 +127,14 @@
   const auto it =
       std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
   if (it == connections_.end()) return;
-  shared_.loop.DestroyLater(std::move(*it));
+  context_.loop.DestroyLater(std::move(*it));
   connections_.erase(it);
   if (worker == nullptr) return;
   std::erase(worker->connections, &c);
-  // A job that was delivered here may have run: nobody can tell any more.
+  // A job that was delivered on this connection may have run; there is no way to find out.
   std::vector<core::HopEnded> ended;
   for (auto hop = worker->hops.begin(); hop != worker->hops.end();) {
-    if (hop->on != &c) {
+    if (hop->connection != &c) {
       ++hop;
       continue;
     }
@@ -139,8 +142,8 @@
     hop = worker->hops.erase(hop);
   }
   if (worker->connections.empty()) {
-    TellRoute(*worker, WorkerState::kGone);  // first: what is taken back must not come here again
-    TakeBack(*worker, Result::kConnectFailed);
+    PublishRoute(*worker, WorkerState::kGone);  // first, so that returned hops are not assigned to it again
+    ReturnUndelivered(*worker, Result::kConnectFailed);
     targets_.erase(worker->target);
     const std::string wid = worker->wid;
     workers_.erase(wid);
@@ -148,67 +151,68 @@
   for (auto& e : ended) driver_.Post(std::move(e));
 }
 
-// ---- commands
-void Front::Serve(Connection& c, std::string_view line) {
-  const Command command = Split(line);
+void Front::ProcessCommand(Connection& c, std::string_view line) {
+  const Command command = SplitCommand(line);
   try {
     if (command.verb == "END") return Remove(c, net::Reason::kAnswered);
-    if (command.verb == "HELLO") return Hello(c, command.rest);
-    if (!c.greeted) throw Fault("HELLO comes first");
-    if (command.verb == "PUSH") return Push(c, command.rest);
-    if (command.verb == "FETCH") return Fetch(c, command.rest);
+    if (command.verb == "HELLO") return Hello(c, command.arguments);
+    if (!c.hello_done) throw ProtocolError("HELLO comes first");
+    if (command.verb == "PUSH") return Push(c, command.arguments);
+    if (command.verb == "FETCH") return Fetch(c, command.arguments);
     if (command.verb == "ACK" || command.verb == "FAIL") return Ack(c, command);
-    if (command.verb == "BEAT") return Beat(c, command.rest);
+    if (command.verb == "BEAT") return Beat(c, command.arguments);
     if (command.verb == "INFO") return c.Send(Bulk(Info()));
-    throw Fault("command " + command.verb.substr(0, 32) + " is not supported");
-  } catch (const Fault& fault) {
+    throw ProtocolError("command " + command.verb.substr(0, 32) + " is not supported");
+  } catch (const ProtocolError& error) {
     ++malformed_;
-    if (!c.greeted) return c.Refuse(fault.what());
-    c.Send(Error(fault.what()));
+    if (!c.hello_done) return c.RejectAndClose(error.what());
+    c.Send(Error(error.what()));
   }
 }
 
-void Front::Hello(Connection& c, std::string_view rest) {
-  if (c.greeted) throw Fault("HELLO came already");
-  const Json::Value hello = ParseObject(rest, "HELLO");
-  if (!hello["v"].isInt() || hello["v"].asInt() != 2) return c.Refuse("v is not 2, the version spoken here");
+void Front::Hello(Connection& c, std::string_view arguments) {
+  if (c.hello_done) throw ProtocolError("HELLO came already");
+  const Json::Value hello = ParseObject(arguments, "HELLO");
+  if (!hello["v"].isInt() || hello["v"].asInt() != 2)
+    return c.RejectAndClose("v is not 2, the version spoken here");
   if (!faktory_.password.empty()) {
-    const std::string given = hello["pwdhash"].isString() ? hello["pwdhash"].asString() : "";
-    if (!SameSecret(given, PasswordHash(faktory_.password, c.salt, kHashRounds)))
-      return c.Refuse("Invalid password");
+    const std::string pwdhash = hello["pwdhash"].isString() ? hello["pwdhash"].asString() : "";
+    if (!SecretsEqual(pwdhash, PasswordHash(faktory_.password, c.salt, kPasswordHashRounds)))
+      return c.RejectAndClose("Invalid password");
   }
   if (hello["wid"].isNull()) {
-    c.greeted = true;
+    c.hello_done = true;
     return c.Send(Simple("OK"));
   }
-  const std::string wid = Text(hello, "wid");
-  c.greeted = true;
+  const std::string wid = RequiredText(hello, "wid");
+  c.hello_done = true;
   auto& worker = workers_[wid];
-  const bool fresh = worker == nullptr;
-  if (fresh) {
+  const bool is_new = worker == nullptr;
+  if (is_new) {
     worker = std::make_unique<Worker>();
     worker->wid = wid;
-    worker->target = TargetOf(wid);
-    worker->since = shared_.loop.Now();
+    worker->target = TargetIdFor(wid);
+    worker->connected_at = context_.loop.Now();
     worker->zone = config_.module.settings.zone;
     for (const Json::Value& label : hello["labels"].isArray() ? hello["labels"] : Json::Value()) {
       const auto zone = label.isString()
                             ? std::find(config_.zones.begin(), config_.zones.end(), label.asString())
                             : config_.zones.end();
-      if (label.isString() && worker->labels.size() < kMostLabels) worker->labels.push_back(label.asString());
+      if (label.isString() && worker->labels.size() < kMaxWorkerLabels)
+        worker->labels.push_back(label.asString());
       if (zone != config_.zones.end()) worker->zone = static_cast<int>(zone - config_.zones.begin());
     }
     targets_[worker->target] = worker.get();
   }
   c.worker = worker.get();
   c.worker->connections.push_back(&c);
-  if (fresh) TellRoute(*c.worker, WorkerState::kReady);
-  // It may hold jobs from before its connections broke, or this program did.
+  if (is_new) PublishRoute(*c.worker, WorkerState::kReady);
+  // It may still run jobs from before its connections broke or this program restarted.
   if (durable()) driver_.Post(core::TargetHeartbeat{c.worker->target});
   c.Send(Simple("OK"));
 }
 
-match::Request Front::AsRequest(const faktory::Job& spec, std::size_t bytes) const {
+match::Request Front::ToMatchRequest(const PushedJob& spec, std::size_t bytes) const {
   match::Request r;
   r.front = "faktory";
   r.jobtype = spec.jobtype;
@@ -219,150 +223,156 @@
   return r;
 }
 
-// What the rules say; without any, nothing.
-match::Service::Judgement Front::Judge(const Connection& c, const faktory::Job& spec, std::size_t bytes) {
+// Applies the rules; an empty judgement where there are none.
+match::Service::Judgement Front::Judge(const Connection& c, const PushedJob& spec, std::size_t bytes) {
   if (rules_ == nullptr) return {};
-  match::Request r = AsRequest(spec, bytes);
+  match::Request r = ToMatchRequest(spec, bytes);
   r.peer = match::Mapped(&c.peer.sin_addr);
-  const auto judgement = rules_->Judge(shared_.loop.Now(), r);
+  const auto judgement = rules_->Judge(context_.loop.Now(), r);
   if (judgement.marked_by != nullptr)
     log::Event(log::Level::kInfo, "marked",
                {{"front", "faktory", true}, {"rule", *judgement.marked_by}, {"jid", spec.jid}});
   return judgement;
 }
 
-void Front::Push(Connection& c, std::string_view rest) {
-  faktory::Job spec = ParseJob(rest, config_.classes, rules_ != nullptr, durable());
+void Front::Push(Connection& c, std::string_view arguments) {
+  PushedJob spec = ParseJob(arguments, config_.classes, rules_ != nullptr, durable());
   if (durable()) {
     if (const auto* known = reducer().job_manager()->table().Find(spec.jid); known != nullptr) {
       if (rules_ == nullptr && known->job_class != spec.job_class)
-        throw Fault("jid is in use by a job of another jobtype");
+        throw ProtocolError("jid is in use by a job of another jobtype");
       ++joined_;
       return ReplyWhenStored(c, Simple("OK"), reducer().job_manager()->StoreIdOf(spec.jid));
     }
   }
-  ForgetOldAnswers();
-  if (const auto kept = kept_.find(spec.jid); kept != kept_.end()) {
-    const std::string line = std::move(kept->second.line);
-    kept_.erase(kept);
+  DropExpiredReplies();
+  if (const auto reply = kept_replies_.find(spec.jid); reply != kept_replies_.end()) {
+    const std::string line = std::move(reply->second.line);
+    kept_replies_.erase(reply);
     ++joined_;
     return c.Send(line);
   }
-  // Guards against a second run for a client that lost its connection and asks again: it joins the job, and
-  // the connection that waited before, if it is still there, will get no answer.
-  if (const auto same = jobs_.find(spec.jid); same != jobs_.end()) {
-    Job& job = *same->second;
+  // A client that lost its connection and repeats the PUSH joins the job, so that it does not run twice. A
+  // connection that was waiting for the job until now is closed without a reply.
+  if (const auto known = jobs_.find(spec.jid); known != jobs_.end()) {
+    Job& job = *known->second;
     if (rules_ == nullptr && job.job_class != spec.job_class)
-      throw Fault("jid is in use by a job of another jobtype");
+      throw ProtocolError("jid is in use by a job of another jobtype");
     ++joined_;
-    if (Connection* before = std::exchange(job.client, &c); before != nullptr) {
-      before->job = nullptr;
-      Remove(*before, net::Reason::kReplaced);
+    if (Connection* previous = std::exchange(job.client, &c); previous != nullptr) {
+      previous->job = nullptr;
+      Remove(*previous, net::Reason::kReplaced);
     }
     c.job = &job;
     c.timer.Stop();
     driver_.Post(core::IngressDetached{job.ticket, false});
-    return DeliverAll();  // a hop of it may wait for a worker's FETCH
+    return DeliverToAll();  // one of its hops may be waiting for delivery
   }
-  const auto judged = Judge(c, spec, rest.size());
-  if (judged.refuse != nullptr) throw Fault("REFUSED " + *judged.refuse);
-  if (judged.rate != nullptr) {
-    ++turned_away_;
-    return c.Send(
-        Error("SHED over the rate " + *judged.rate + "; come back in " + FormatSeconds(judged.wait) + " s"));
+  const auto judgement = Judge(c, spec, arguments.size());
+  if (judgement.refuse != nullptr) throw ProtocolError("REFUSED " + *judgement.refuse);
+  if (judgement.rate != nullptr) {
+    ++shed_;
+    return c.Send(Error("SHED over the rate " + *judgement.rate + "; come back in " +
+                        FormatSeconds(judgement.wait) + " s"));
   }
-  if (judged.job_class >= 0) spec.job_class = judged.job_class;
-  if (judged.key) spec.key = *judged.key;
-  if (judged.repeats)
-    spec.most_hops = spec.most_hops > 0 ? std::min(spec.most_hops, *judged.repeats + 1) : *judged.repeats + 1;
-  if (spec.job_class < 0) throw Fault("jobtype is none of the classes served here");
-  if (durable()) return PushDurable(c, spec, rest, judged);
-  const std::string tenant(judged.tenant.value_or(""));  // it points into what is moved below
+  if (judgement.job_class >= 0) spec.job_class = judgement.job_class;
+  if (judgement.key) spec.key = *judgement.key;
+  if (judgement.repeats)
+    spec.max_hops =
+        spec.max_hops > 0 ? std::min(spec.max_hops, *judgement.repeats + 1) : *judgement.repeats + 1;
+  if (spec.job_class < 0) throw ProtocolError("jobtype is none of the classes served here");
+  if (durable()) return PushDurable(c, spec, arguments, judgement);
+  // A copy, as the original points into data that is moved below.
+  const std::string tenant(judgement.tenant.value_or(""));
   core::RequestArrived arrived;
   if (reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
-      held_bytes_ + rest.size() > most_bytes_) {
-    ++turned_away_;
+      job_bytes_ + arguments.size() > max_bytes_) {
+    ++shed_;
     if (reducer().limits() == nullptr) return c.Send(Error("SHED too many jobs held; come back in 1.000 s"));
     arrived.no_capacity = true;
   }
-  auto owned = std::make_unique<Job>();
-  Job& job = *owned;
+  auto new_job = std::make_unique<Job>();
+  Job& job = *new_job;
   job.jid = spec.jid;
   job.queue = spec.queue;
-  if (!arrived.no_capacity) job.text = rest;
+  if (!arrived.no_capacity) job.text = arguments;
   job.job_class = spec.job_class;
   job.ticket = ++last_ticket_;
   const auto& settings = config_.module.settings.classes[static_cast<std::size_t>(spec.job_class)];
-  job.deadline = shared_.loop.Now() + spec.deadline.value_or(settings.deadline);
+  job.deadline = context_.loop.Now() + spec.deadline.value_or(settings.deadline);
   job.client = &c;
   c.job = &job;
   c.timer.Stop();
-  held_bytes_ += job.text.size();
+  job_bytes_ += job.text.size();
   tickets_[job.ticket] = &job;
-  jobs_[job.jid] = std::move(owned);
+  jobs_[job.jid] = std::move(new_job);
   arrived.id = arrived.client = spec.jid;
   arrived.hop_timeout = spec.reserve_for;
-  arrived.max_hops = spec.most_hops;
+  arrived.max_hops = spec.max_hops;
   arrived.request.id = job.ticket;
   arrived.request.job_class = spec.job_class;
   arrived.request.deadline = job.deadline;
   arrived.request.key = spec.key;
-  arrived.request.priority = judged.priority;
-  arrived.request.required_groups = judged.only;
+  arrived.request.priority = judgement.priority;
+  arrived.request.required_groups = judgement.only;
   arrived.tenant = tenant;
   driver_.Post(std::move(arrived));
 }
 
-void Front::Fetch(Connection& c, std::string_view rest) {
-  if (c.worker == nullptr) throw Fault("FETCH needs a HELLO with a wid");
+void Front::Fetch(Connection& c, std::string_view arguments) {
+  if (c.worker == nullptr) throw ProtocolError("FETCH needs a HELLO with a wid");
   c.queues.clear();
-  std::istringstream names{std::string(rest)};
+  std::istringstream names{std::string(arguments)};
   for (std::string name; names >> name;) c.queues.push_back(name);
   if (c.queues.empty()) c.queues.push_back("default");
   c.fetching = true;
-  c.timer.Start(kFetchWait);
+  c.timer.Start(kFetchTimeout);
   Deliver(*c.worker);
-  if (c.worker != nullptr) TellLoad(*c.worker);
+  if (c.worker != nullptr) PublishLoad(*c.worker);
 }
 
-// ACK and FAIL. What names no job that this worker holds is late (the hop was given up): it changes nothing.
+// Handles ACK and FAIL. One that names no job of this worker is late, as its hop was given up, and has no
+// effect.
 void Front::Ack(Connection& c, const Command& command) {
-  if (c.worker == nullptr) throw Fault(command.verb + " needs a HELLO with a wid");
-  const Json::Value ack = ParseObject(command.rest, command.verb.c_str());
-  core::HopCallback news;
-  news.id = Text(ack, "jid");
-  news.state = command.verb == "ACK" ? core::CallbackState::kDone : core::CallbackState::kFailed;
+  if (c.worker == nullptr) throw ProtocolError(command.verb + " needs a HELLO with a wid");
+  const Json::Value ack = ParseObject(command.arguments, command.verb.c_str());
+  core::HopCallback report;
+  report.id = RequiredText(ack, "jid");
+  report.state = command.verb == "ACK" ? core::CallbackState::kDone : core::CallbackState::kFailed;
   Worker& worker = *c.worker;
-  news.from = worker.target;
-  const auto hop = std::find_if(worker.hops.begin(), worker.hops.end(),
-                                [&news](const Hop& h) { return h.on != nullptr && h.job->jid == news.id; });
+  report.from = worker.target;
+  const auto hop = std::find_if(worker.hops.begin(), worker.hops.end(), [&report](const Hop& h) {
+    return h.connection != nullptr && h.job->jid == report.id;
+  });
   if (hop != worker.hops.end()) {
     worker.hops.erase(hop);
-    news.report = LoadOf(worker);
+    report.report = LoadReport(worker);
   } else if (!durable()) {
     ++late_acks_;
     return c.Send(Simple("OK"));
   }
   if (durable()) {
-    if (news.state == core::CallbackState::kFailed) news.result = WhyOf(ack);
-    return AckDurable(c, std::move(news));
+    if (report.state == core::CallbackState::kFailed) report.result = FailureReason(ack);
+    return AckDurable(c, std::move(report));
   }
-  // The outcome stands before the worker hears of it: what becomes of it afterwards changes nothing.
-  driver_.Post(std::move(news));
+  // The outcome is final before the worker gets the reply: a later failure of the worker does not change
+  // it.
+  driver_.Post(std::move(report));
   c.Send(Simple("OK"));
 }
 
-void Front::Beat(Connection& c, std::string_view rest) {
-  const Json::Value beat = ParseObject(rest, "BEAT");
-  if (c.worker == nullptr || Text(beat, "wid") != c.worker->wid)
-    throw Fault("wid is not the one of this connection's HELLO");
+void Front::Beat(Connection& c, std::string_view arguments) {
+  const Json::Value beat = ParseObject(arguments, "BEAT");
+  if (c.worker == nullptr || RequiredText(beat, "wid") != c.worker->wid)
+    throw ProtocolError("wid is not the one of this connection's HELLO");
   const std::string state = beat["current_state"].isString() ? beat["current_state"].asString() : "";
-  if (state != "" && state != "quiet" && state != "terminate") throw Fault("current_state is not known");
+  if (state != "" && state != "quiet" && state != "terminate")
+    throw ProtocolError("current_state is not known");
   if (durable()) driver_.Post(core::TargetHeartbeat{c.worker->target});
   if (state != "" && c.worker->state == WorkerState::kReady) {
-    // Told at once, and what waits for it is taken back: nothing new goes to a worker that drains.
-    TellRoute(*c.worker, WorkerState::kDraining);
-    TakeBack(*c.worker, Result::kFull);
+    // Published immediately, and undelivered hops are returned: a draining worker gets no new jobs.
+    PublishRoute(*c.worker, WorkerState::kDraining);
+    ReturnUndelivered(*c.worker, Result::kFull);
   }
   c.Send(Simple("OK"));
 }
@@ -373,8 +383,8 @@
   faktory["total_enqueued"] = Json::UInt64(driver_.reducer().pending());
   faktory["total_processed"] = Json::UInt64(n.served);
   faktory["total_failures"] = Json::UInt64(n.failed);
-  faktory["total_shed"] = Json::UInt64(n.shed + turned_away_);
-  if (durable()) InfoOfStore(faktory);
+  faktory["total_shed"] = Json::UInt64(n.shed + shed_);
+  if (durable()) AddStoreInfo(faktory);
   server["connections"] = Json::UInt64(connections_.size());
   server["workers"] = Json::UInt64(workers_.size());
   server["description"] = "heronway";
@@ -383,16 +393,15 @@
   return Json::writeString(compact, info);
 }
 
-// ---- effects
 void Front::Execute(core::Effect& effect) {
   if (auto* send = std::get_if<core::SendHop>(&effect)) return Do(*send);
-  if (auto* off = std::get_if<core::CancelHop>(&effect)) return Do(*off);
+  if (auto* cancel = std::get_if<core::CancelHop>(&effect)) return Do(*cancel);
   if (auto* answer = std::get_if<core::Answer>(&effect)) return Do(*answer);
   if (auto* storm = std::get_if<core::StormChanged>(&effect))
     return LogStormChange("faktory", storm->change, config_.classes);
-  if (auto* resume = std::get_if<core::StartRound>(&effect)) return Do(*resume);
+  if (auto* start = std::get_if<core::StartRound>(&effect)) return Do(*start);
   if (std::holds_alternative<core::Drained>(effect))
-    driver_.WhenStored([this](bool) { drained_(); });  // replies that wait for the store go out first
+    driver_.WhenStored([this](bool) { drained_(); });  // after replies that wait for the store
 }
 
 void Front::Do(core::SendHop& e) {
@@ -401,70 +410,71 @@
   if (job == tickets_.end() || target == targets_.end() || target->second->state != WorkerState::kReady)
     return driver_.Post(core::HopEnded{e.request, e.hop, Result::kConnectFailed, {}});
   Worker& worker = *target->second;
-  worker.hops.push_back({job->second, e.hop, shared_.loop.Now(), nullptr, nullptr});
+  worker.hops.push_back({job->second, e.hop, context_.loop.Now(), nullptr, nullptr});
   Hop& hop = worker.hops.back();
-  // Guards against a job that waits for a worker that asks for nothing: it is taken back, and never ran.
-  hop.patience = std::make_unique<net::Timer>(shared_.loop, [this, ticket = e.request, n = e.hop, &worker] {
-    const auto it = std::find_if(worker.hops.begin(), worker.hops.end(), [&](const Hop& h) {
-      return h.job->ticket == ticket && h.number == n && h.on == nullptr;
-    });
-    if (it == worker.hops.end()) return;
-    shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->patience)));
-    worker.hops.erase(it);
-    driver_.Post(core::HopEnded{ticket, n, Result::kFull, LoadOf(worker)});
-  });
-  hop.patience->Start(kHopWait);
+  // A job whose worker sends no FETCH is returned to the reducer; it has not run.
+  hop.delivery_timer =
+      std::make_unique<net::Timer>(context_.loop, [this, ticket = e.request, n = e.hop, &worker] {
+        const auto it = std::find_if(worker.hops.begin(), worker.hops.end(), [&](const Hop& h) {
+          return h.job->ticket == ticket && h.number == n && h.connection == nullptr;
+        });
+        if (it == worker.hops.end()) return;
+        context_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->delivery_timer)));
+        worker.hops.erase(it);
+        driver_.Post(core::HopEnded{ticket, n, Result::kFull, LoadReport(worker)});
+      });
+  hop.delivery_timer->Start(kHopDeliveryTimeout);
   Deliver(worker);
 }
 
-// Answers waiting FETCHes with the hops that wait, oldest first, by the queues that each FETCH names.
+// Replies to waiting FETCHes with undelivered hops, oldest first, according to the queues of each FETCH.
 void Front::Deliver(Worker& worker) {
   if (worker.state != WorkerState::kReady) return;
-  struct Given {
+  struct Delivery {
     Connection* to;
     std::string text;
     core::HopCallback started;
   };
-  std::vector<Given> given;
+  std::vector<Delivery> deliveries;
   for (Hop& hop : worker.hops) {
-    if (hop.on != nullptr || hop.job->client_gone()) continue;
-    const auto taker =
+    if (hop.connection != nullptr || hop.job->client_disconnected()) continue;
+    const auto receiver =
         std::find_if(worker.connections.begin(), worker.connections.end(), [&hop](const Connection* c) {
-          // One that has ended, unread so far, would leave the job as one that may have run.
+          // After delivery to a connection whose end is not read yet, the job would count as possibly run.
           return c->fetching && std::count(c->queues.begin(), c->queues.end(), hop.job->queue) > 0 &&
                  !c->stream.PeerClosed();
         });
-    if (taker == worker.connections.end()) continue;
-    hop.on = *taker;
-    hop.patience.reset();
-    (*taker)->fetching = false;
-    given.push_back({*taker, Bulk(hop.job->text), {}});
-    given.back().started.id = hop.job->jid;
-    given.back().started.from = worker.target;
+    if (receiver == worker.connections.end()) continue;
+    hop.connection = *receiver;
+    hop.delivery_timer.reset();
+    (*receiver)->fetching = false;
+    deliveries.push_back({*receiver, Bulk(hop.job->text), {}});
+    deliveries.back().started.id = hop.job->jid;
+    deliveries.back().started.from = worker.target;
   }
-  // Apart from the above: a connection that breaks now ends its hop, and may end the worker.
-  for (Given& g : given) {
+  // In a separate loop, as a connection that breaks on Send removes its hop and possibly the worker.
+  for (Delivery& delivery : deliveries) {
     const auto alive = std::any_of(connections_.begin(), connections_.end(),
-                                   [&g](const auto& c) { return c.get() == g.to; });
-    if (alive) g.to->Send(g.text);
-    driver_.Post(std::move(g.started));
+                                   [&delivery](const auto& c) { return c.get() == delivery.to; });
+    if (alive) delivery.to->Send(delivery.text);
+    driver_.Post(std::move(delivery.started));
   }
 }
 
-// Apart from the list of workers: what a delivery brings about may end one.
-void Front::DeliverAll() {
-  std::vector<core::TargetId> all;
-  for (const auto& [target, worker] : targets_) all.push_back(target);
-  for (const core::TargetId target : all) {
+// Iterates over a copy of the ids, as a delivery may remove a worker.
+void Front::DeliverToAll() {
+  std::vector<core::TargetId> targets;
+  for (const auto& [target, worker] : targets_) targets.push_back(target);
+  for (const core::TargetId target : targets) {
     if (const auto it = targets_.find(target); it != targets_.end()) Deliver(*it->second);
   }
 }
 
-// Hops that no FETCH has taken go back: they never ran.
-void Front::TakeBack(Worker& worker, Result result) {
+// Returns undelivered hops to the reducer; they have not run.
+void Front::ReturnUndelivered(Worker& worker, Result result) {
   std::vector<core::HopEnded> ended;
   for (auto hop = worker.hops.begin(); hop != worker.hops.end();) {
-    if (hop->on != nullptr) {
+    if (hop->connection != nullptr) {
       ++hop;
       continue;
     }
@@ -474,27 +484,27 @@
   for (auto& e : ended) driver_.Post(std::move(e));
 }
 
-// The protocol has no word for calling off what a worker holds; its ACK will be late and change nothing.
+// The protocol has no message to cancel a delivered job; its ACK will be late and have no effect.
 void Front::Do(core::CancelHop& e) {
-  bool waited = false;
+  bool undelivered = false;
   if (const auto target = targets_.find(e.target); target != targets_.end()) {
     auto& hops = target->second->hops;
     const auto hop = std::find_if(hops.begin(), hops.end(), [&e](const Hop& h) {
       return h.job->ticket == e.request && h.number == e.hop;
     });
     if (hop != hops.end()) {
-      waited = hop->on == nullptr;
+      undelivered = hop->connection == nullptr;
       hops.erase(hop);
     }
   }
-  driver_.Post(core::HopCancelled{e.request, e.hop, waited});
+  driver_.Post(core::HopCancelled{e.request, e.hop, undelivered});
 }
 
 void Front::Do(core::Answer& e) {
   const auto it = tickets_.find(e.request);
   if (it == tickets_.end()) return;
   Job& job = *it->second;
-  if (job.round) return EndRound(job);
+  if (job.is_round) return FinishRound(job);
   switch (e.kind) {
     case core::AnswerKind::kServed:
       return Reply(job, Simple("OK"));
@@ -507,10 +517,10 @@
   }
 }
 
-void Front::Forget(Job& job) {
+void Front::RemoveJob(Job& job) {
   for (auto& [wid, worker] : workers_)
     std::erase_if(worker->hops, [&job](const Hop& h) { return h.job == &job; });
-  held_bytes_ -= job.text.size();
+  job_bytes_ -= job.text.size();
   tickets_.erase(job.ticket);
   const std::string jid = job.jid;
   jobs_.erase(jid);
@@ -518,19 +528,20 @@
 
 void Front::Reply(Job& job, const std::string& line) {
   Connection* client = job.client;
-  if (client == nullptr && kept_.size() < kMostKept) kept_[job.jid] = {line, job.deadline};
-  Forget(job);
+  if (client == nullptr && kept_replies_.size() < kMaxKeptReplies)
+    kept_replies_[job.jid] = {line, job.deadline};
+  RemoveJob(job);
   if (client == nullptr) return;
   client->job = nullptr;
   client->Send(line);
 }
 
-void Front::TellRoute(const Worker& worker, WorkerState state) {
+void Front::PublishRoute(const Worker& worker, WorkerState state) {
   if (const auto it = targets_.find(worker.target); it != targets_.end()) it->second->state = state;
   pebblenotch::WorkerEntry entry;
   entry.id = worker.target;
   entry.zone = worker.zone;
-  entry.started_at = entry.claimed_started_at = worker.since;
+  entry.started_at = entry.claimed_started_at = worker.connected_at;
   entry.state = state;
   if (rules_ != nullptr)
     entry.groups = rules_->GroupsOf(
@@ -539,36 +550,36 @@
 }
 
 void Front::RulesChanged() {
-  for (const auto& [wid, worker] : workers_) TellRoute(*worker, worker->state);
+  for (const auto& [wid, worker] : workers_) PublishRoute(*worker, worker->state);
 }
 
-// The module takes its own young pushes off the free slots that a report tells, so these are added back: what
-// is left is the FETCHes that wait.
-pebblenotch::Report Front::LoadOf(const Worker& worker) {
-  const Micros now = shared_.loop.Now();
-  const auto young = std::count_if(worker.hops.begin(), worker.hops.end(), [now](const Hop& h) {
-    return h.on != nullptr && h.sent > now - pebblenotch::kReportLag;
+// The decision module subtracts its recent pushes from the reported free slots. They are added here, so
+// that the difference is the number of waiting FETCHes.
+pebblenotch::Report Front::LoadReport(const Worker& worker) {
+  const Micros now = context_.loop.Now();
+  const auto recent = std::count_if(worker.hops.begin(), worker.hops.end(), [now](const Hop& h) {
+    return h.connection != nullptr && h.sent_at > now - pebblenotch::kReportLag;
   });
   const auto waiting = std::count_if(worker.connections.begin(), worker.connections.end(),
                                      [](const Connection* c) { return c->fetching; });
-  const auto active =
-      std::count_if(worker.hops.begin(), worker.hops.end(), [](const Hop& h) { return h.on != nullptr; });
+  const auto active = std::count_if(worker.hops.begin(), worker.hops.end(),
+                                    [](const Hop& h) { return h.connection != nullptr; });
   pebblenotch::Report report;
   report.waiting = 0;
   report.active = static_cast<double>(active);
-  report.free_slots = static_cast<double>(waiting + young);
+  report.free_slots = static_cast<double>(waiting + recent);
   return report;
 }
 
-void Front::TellLoad(Worker& worker) {
-  driver_.Post(core::ProbeEnded{worker.target, Result::kOk, 0, LoadOf(worker)});
+void Front::PublishLoad(Worker& worker) {
+  driver_.Post(core::ProbeEnded{worker.target, Result::kOk, 0, LoadReport(worker)});
 }
 
-void Front::ForgetOldAnswers() {
-  std::erase_if(kept_, [now = shared_.loop.Now()](const auto& k) { return k.second.until < now; });
+void Front::DropExpiredReplies() {
+  std::erase_if(kept_replies_, [now = context_.loop.Now()](const auto& k) { return k.second.until < now; });
 }
 
-void Front::PrintCounters() const {
+void Front::LogStatistics() const {
   LogRequestCounters("faktory", driver_.reducer());
   LogDurableCounters("faktory", driver_);
   LogInvariantViolations("faktory", driver_.reducer().invariants());
@@ -576,7 +587,7 @@
              {{"front", "faktory", true},
               {"joined", joined_},
               {"late_acks", late_acks_},
-              {"turned_away", turned_away_},
+              {"turned_away", shed_},
               {"malformed", malformed_},
               {"connections", connections_.size()},
               {"workers", workers_.size()},
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -1,8 +1,9 @@
-// The Faktory front: clients PUSH, workers FETCH, and the same reducer and module decide in between.
+// The front for the Faktory work protocol: clients PUSH jobs, workers FETCH them, and the reducer and the
+// decision module assign jobs to workers as for the HTTP front.
 //
-// A worker (a `wid`, over one or more connections) is an egress target. A FETCH that waits is a free slot; a
-// hop goes out by answering one. A PUSH is answered when its job has its final outcome, as nothing is stored;
-// with durable jobs, when the job is stored (durable.cpp).
+// A worker (identified by `wid`, with one or more connections) is an egress target. A waiting FETCH is a
+// free slot; a hop is delivered as the reply to a FETCH. Without durable jobs a PUSH is answered with the
+// job's final outcome; with them, when the job is stored (durable.cpp).
 #ifndef HERONWAY_FRONTS_FAKTORY_FRONT_H_
 #define HERONWAY_FRONTS_FAKTORY_FRONT_H_
 
@@ -28,36 +29,44 @@
 
 class Front {
  public:
-  Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+  // `rules`: applied to each PUSH; may be null. `drained`: called once a graceful shutdown is complete.
+  // Throws std::runtime_error where the address cannot be bound or the store cannot be opened.
+  Front(net::StreamContext& context, const config::Config& config, const config::Options& options,
         const config::FaktoryConfig& faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
+  // Starts the graceful shutdown.
   void Drain() { driver_.Post(core::DrainStarted{}); }
-  bool Answering() const;  // a reply has not left whole
-  void FleetSeen(const core::FleetView& seen) { driver_.Post(core::FleetView(seen)); }
-  // Where word of a job that is not held here goes, where copies are kept.
-  using LeadWord = std::function<void(const core::HopCallback&, cluster::copies::ReportForwarder::Done)>;
-  void LeadWords(LeadWord lead) { lead_word_ = std::move(lead); }
-  // Asks the other schedulers for a job that is not known here; told once, within `patience` microseconds.
-  using LookUpJob = std::function<void(const std::string& jid, Micros patience,
-                                       std::function<void(cluster::copies::LookupResult)> told)>;
-  void LookUpJobs(LookUpJob look_up) { look_up_job_ = std::move(look_up); }
+  bool HasUnsentAnswers() const;  // replies that wait for the store or are not sent completely
+  void UpdateFleetView(const core::FleetView& seen) { driver_.Post(core::FleetView(seen)); }
+  // Forwards a worker's report on a job that is not known here to the scheduler that serves it. Only set
+  // where jobs are replicated.
+  using ForwardReport = std::function<void(const core::HopCallback&, cluster::copies::ReportForwarder::Done)>;
+  void SetReportForwarder(ForwardReport forward) { forward_report_ = std::move(forward); }
+  // Asks the other schedulers for a job that is not known here. `done` is called once, within `timeout`
+  // microseconds. Only set where jobs are replicated.
+  using JobLookup = std::function<void(const std::string& jid, Micros timeout,
+                                       std::function<void(cluster::copies::LookupResult)> done)>;
+  void SetJobLookup(JobLookup look_up) { job_lookup_ = std::move(look_up); }
+  // The number of connections below the configured maximum.
   std::size_t unused_connections() const {
-    const auto most = static_cast<std::size_t>(faktory_.most_connections);
-    return most - std::min(most, connections_.size());
+    const auto limit = static_cast<std::size_t>(faktory_.most_connections);
+    return limit - std::min(limit, connections_.size());
   }
-  net::Driver& driver() { return driver_; }  // for jobs that come from another scheduler, and go there
-  void RulesChanged();                       // they name other groups of targets: each target is told anew
-  void PrintCounters() const;
+  net::Driver& driver() { return driver_; }  // for jobs that move between schedulers
+  // Publishes all targets again, as changed rules may put them into other groups.
+  void RulesChanged();
+  void LogStatistics() const;
   const core::Reducer& reducer() const { return driver_.reducer(); }
   net::Address address() const { return listener_.address(); }
 
-  static constexpr Micros kFetchWait = 2'000'000;  // a FETCH is answered with nothing after this long
-  static constexpr Micros kHopWait = 1'000'000;    // a hop waits this long for its target to FETCH
-  static constexpr Micros kHelloTime = 2'500'000;  // from connecting
-  static constexpr Micros kSilence = 60'000'000;   // a connection that says nothing for so long is closed
-  static constexpr Micros kReadTime = 15'000'000;
-  static constexpr Micros kLinger = 2'000'000;    // for a peer to end, once it was told that it must
-  static constexpr std::size_t kMostKept = 1024;  // answers kept for clients that may come back for them
+  // All times in microseconds.
+  static constexpr Micros kFetchTimeout = 2'000'000;        // until a FETCH gets an empty reply
+  static constexpr Micros kHopDeliveryTimeout = 1'000'000;  // for a hop's target to send a FETCH
+  static constexpr Micros kHelloTimeout = 2'500'000;        // from connecting until HELLO is complete
+  static constexpr Micros kIdleTimeout = 60'000'000;        // until a silent connection is closed
+  static constexpr Micros kReplyReadTimeout = 15'000'000;   // for a peer to read a reply
+  static constexpr Micros kCloseTimeout = 2'000'000;        // for a peer to close after the last reply
+  static constexpr std::size_t kMaxKeptReplies = 1024;      // replies kept for clients that reconnect
 
  private:
   struct Connection;
@@ -65,27 +74,27 @@
   struct Hop;
   struct Job;
 
-  void Accepted(int fd, const net::Address& from);
-  bool MakeRoom(bool must);
-  void Gone(Connection& c);
+  void OnAccept(int fd, const net::Address& from);
+  bool ReserveDescriptor(bool required);
+  void OnDisconnected(Connection& c);
   void Remove(Connection& c, net::Reason reason);
 
-  void Serve(Connection& c, std::string_view line);
-  void Hello(Connection& c, std::string_view rest);
-  void Push(Connection& c, std::string_view rest);
-  match::Service::Judgement Judge(const Connection& c, const faktory::Job& spec, std::size_t bytes);
-  match::Request AsRequest(const faktory::Job& spec, std::size_t bytes) const;
-  void PushDurable(Connection& c, faktory::Job& spec, std::string_view rest,
-                   const match::Service::Judgement& judged);
-  void TakeDurable(Connection& c, core::JobSubmitted submitted);
-  bool CanTake(Connection& c);
-  void AckDurable(Connection& c, core::HopCallback news);
+  void ProcessCommand(Connection& c, std::string_view line);
+  void Hello(Connection& c, std::string_view arguments);
+  void Push(Connection& c, std::string_view arguments);
+  match::Service::Judgement Judge(const Connection& c, const PushedJob& spec, std::size_t bytes);
+  match::Request ToMatchRequest(const PushedJob& spec, std::size_t bytes) const;
+  void PushDurable(Connection& c, PushedJob& spec, std::string_view arguments,
+                   const match::Service::Judgement& judgement);
+  void SubmitDurable(Connection& c, core::JobSubmitted submitted);
+  bool CheckCanStore(Connection& c);
+  void AckDurable(Connection& c, core::HopCallback report);
   void ReplyWhenStored(Connection& c, std::string line, int store_id);
   bool durable() const { return reducer().job_manager() != nullptr; }
-  core::TargetId TargetOf(const std::string& wid);
-  void Fetch(Connection& c, std::string_view rest);
+  core::TargetId TargetIdFor(const std::string& wid);
+  void Fetch(Connection& c, std::string_view arguments);
   void Ack(Connection& c, const Command& command);
-  void Beat(Connection& c, std::string_view rest);
+  void Beat(Connection& c, std::string_view arguments);
   std::string Info() const;
 
   void Execute(core::Effect& effect);
@@ -93,26 +102,26 @@
   void Do(core::CancelHop& e);
   void Do(core::Answer& e);
   void Do(core::StartRound& e);
-  void EndRound(Job& job) { Forget(job); }
-  void Forget(Job& job);
-  void InfoOfStore(Json::Value& faktory) const;
+  void FinishRound(Job& job) { RemoveJob(job); }
+  void RemoveJob(Job& job);
+  void AddStoreInfo(Json::Value& faktory) const;
   void Reply(Job& job, const std::string& line);
   void Deliver(Worker& worker);
-  void DeliverAll();
-  void TakeBack(Worker& worker, core::Result result);
-  void TellRoute(const Worker& worker, pebblenotch::WorkerState state);
-  pebblenotch::Report LoadOf(const Worker& worker);
-  void TellLoad(Worker& worker);
-  void ForgetOldAnswers();
+  void DeliverToAll();
+  void ReturnUndelivered(Worker& worker, core::Result result);
+  void PublishRoute(const Worker& worker, pebblenotch::WorkerState state);
+  pebblenotch::Report LoadReport(const Worker& worker);
+  void PublishLoad(Worker& worker);
+  void DropExpiredReplies();
 
-  net::StreamContext& shared_;
+  net::StreamContext& context_;
   const config::Config& config_;
   config::FaktoryConfig faktory_;
   match::Service* rules_;
   std::function<void()> drained_;
   net::Driver driver_;
-  LeadWord lead_word_;     // null where no copies are kept
-  LookUpJob look_up_job_;  // the same
+  ForwardReport forward_report_;  // null where jobs are not replicated
+  JobLookup job_lookup_;          // null where jobs are not replicated
   net::Listener listener_;
 
   std::list<std::shared_ptr<Connection>> connections_;
@@ -120,15 +129,15 @@
   std::unordered_map<core::TargetId, Worker*> targets_;
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;  // by jid, until answered
   std::unordered_map<core::Ticket, Job*> tickets_;
-  struct Kept {
+  struct KeptReply {  // for a client that may reconnect until `until`
     std::string line;
     Micros until;
   };
-  std::unordered_map<std::string, Kept> kept_;  // answers whose client had gone, by jid
-  std::size_t held_bytes_ = 0, incoming_bytes_ = 0, most_bytes_;
+  std::unordered_map<std::string, KeptReply> kept_replies_;  // replies whose client was disconnected, by jid
+  std::size_t job_bytes_ = 0, buffered_bytes_ = 0, max_bytes_;
   core::Ticket last_ticket_ = 0;
   core::TargetId last_target_ = 0;
-  std::uint64_t joined_ = 0, turned_away_ = 0, malformed_ = 0, late_acks_ = 0;
+  std::uint64_t joined_ = 0, shed_ = 0, malformed_ = 0, late_acks_ = 0;
 };
 
 }  // namespace heronway::faktory
--- a/src/fronts/faktory/protocol.h
+++ b/src/fronts/faktory/protocol.h
@@ -1,4 +1,4 @@
-// The Faktory work protocol, version 2, as text: command lines in, RESP replies out. Holds no state.
+// Parses commands and formats replies (RESP) of the Faktory work protocol, version 2. Stateless.
 #ifndef HERONWAY_FRONTS_FAKTORY_PROTOCOL_H_
 #define HERONWAY_FRONTS_FAKTORY_PROTOCOL_H_
 
@@ -16,51 +16,56 @@
 
 using core::Micros;
 
-inline constexpr std::size_t kMostLine = 64 * 1024;
+// The maximum length of a command line.
+inline constexpr std::size_t kMaxLineBytes = 64 * 1024;
 
-// What the peer did wrong; `what()` goes behind -ERR.
-class Fault : public std::runtime_error {
+// An error of the peer; `what()` is the text of the -ERR reply.
+class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// A command line, split at the first space.
 struct Command {
   std::string verb;  // in upper case
-  std::string_view rest;
+  std::string_view arguments;
 };
-Command Split(std::string_view line);
+Command SplitCommand(std::string_view line);
 
-// The JSON object that a command carries. Throws Fault.
+// Parses the JSON object that is the argument of `command`. Throws ProtocolError.
 Json::Value ParseObject(std::string_view text, const char* command);
-// A text field; a Fault that names it where it is missing or no text.
-std::string Text(const Json::Value& object, const char* field);
+// The value of a text field. Throws ProtocolError, naming the field, where it is missing, empty, no string
+// or longer than 128 bytes.
+std::string RequiredText(const Json::Value& object, const char* field);
 
-// A job as PUSH brings it.
-struct Job {
+// The fields of the job in a PUSH.
+struct PushedJob {
   std::string jid, jobtype, queue;
-  int job_class = 0;                                        // -1: the jobtype names none
-  std::optional<Micros> deadline;                           // custom.deadline_ms, from when it was sent
-  std::uint64_t key = 0;                                    // custom.key
-  std::vector<std::pair<std::string, std::string>> custom;  // its texts, for rules
-  Micros reserve_for = 0;
-  bool reserved = false;     // the client said for how long
-  int most_hops = 0;         // `retry` + 1; 0: no limit of the client's
-  std::optional<int> retry;  // as it is told: -1 to 1000
-  Micros at = 0;             // Unix time before which it must not run; 0: at once
+  int job_class = 0;               // index; -1: the jobtype is not the name of a class
+  std::optional<Micros> deadline;  // custom.deadline_ms in microseconds, relative to the PUSH
+  std::uint64_t key = 0;           // custom.key
+  std::vector<std::pair<std::string, std::string>> custom;  // the string members of `custom`, for rules
+  Micros reserve_for = 0;                                   // time for one run of the job
+  bool reserved = false;                                    // the client gave reserve_for
+  int max_hops = 0;                                         // `retry` + 1; 0: not limited by the client
+  std::optional<int> retry;                                 // as given: -1 to 1000
+  Micros at = 0;  // Unix time before which it must not run; 0: immediately
 };
-// RFC 3339, as `at` has it. Throws Fault.
-Micros ParseTime(const std::string& text);
-// Checks all fields and throws a Fault that names the first bad or unsupported one.
-// `any_class`: rules may give a class to one whose jobtype names none. `stored`: jobs for later can be kept.
-Job ParseJob(std::string_view text, const std::vector<std::string>& classes, bool any_class = false,
-             bool stored = false);
+// Parses an RFC 3339 time to Unix microseconds. Throws ProtocolError.
+Micros ParseTimestamp(const std::string& text);
+// Parses and checks the job of a PUSH. Throws a ProtocolError that names the first invalid or unsupported
+// field. `allow_unknown_class`: the jobtype need not be a class, as rules may assign one; `custom` strings
+// are extracted. `supports_delay`: `at` is accepted, as jobs are stored.
+PushedJob ParseJob(std::string_view text, const std::vector<std::string>& classes,
+                   bool allow_unknown_class = false, bool supports_delay = false);
 
-// What a FAIL says of the failure, in short.
-std::string WhyOf(const Json::Value& fail);
+// The reason in a FAIL: its errtype and message, each cut to 500 bytes; "failed" where both are missing.
+std::string FailureReason(const Json::Value& fail);
 
-// What a client answers to the server's salt and number of rounds.
+// The password hash of HELLO, in hexadecimal: `rounds` times SHA-256 of password and salt.
 std::string PasswordHash(std::string_view password, std::string_view salt, int rounds);
-bool SameSecret(std::string_view a, std::string_view b);  // takes as long whatever differs
+bool SecretsEqual(std::string_view a, std::string_view b);  // in constant time for texts of equal length
+// Throws std::runtime_error where no random bytes are available.
 std::string RandomSalt();
 
 std::string Simple(std::string_view text);  // +text
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -86,7 +86,7 @@
       config.seed + 6,
       cluster::Node::Callbacks{[&front, second](cluster::QuorumState standing, int schedulers) {
                                  front.UpdateFleetView({standing, schedulers});
-                                 if (second != nullptr) second->FleetSeen({standing, schedulers});
+                                 if (second != nullptr) second->UpdateFleetView({standing, schedulers});
                                },
                                [&front](const cluster::TargetAdvice& hint) { front.ApplyAdvice(hint); },
                                (config.module.settings.nodes + 1) / 2});
@@ -183,14 +183,14 @@
     };
   };
   front.SetReportForwarder(lead("http"));
-  if (second != nullptr) second->LeadWords(lead("faktory"));
+  if (second != nullptr) second->SetReportForwarder(lead("faktory"));
   const auto look_up = [&copies](const std::string& name, bool is_alias) {
     return [&copies, name, is_alias](const std::string& job, net::Micros patience, auto told) {
       copies.LookUpJob(name, {job, is_alias}, patience, std::move(told));
     };
   };
   front.SetJobLookup(look_up("http", true));
-  if (second != nullptr) second->LookUpJobs(look_up("faktory", false));
+  if (second != nullptr) second->SetJobLookup(look_up("faktory", false));
 }
 
 // Signals that come before the program listens to them wait: SIGHUP would end it, SIGTERM would end it over
@@ -228,7 +228,7 @@
   };
   const auto print = [&] {
     front.LogStatistics();
-    if (second) second->PrintCounters();
+    if (second) second->LogStatistics();
     LogRuleHits(rules.get());
   };
   net::Signal term(loop, SIGTERM, drain);
@@ -301,7 +301,7 @@
   // still to be accepted too, and an answer that its client has not read whole: each has its time for that.
   const auto busy = [&] {
     return front.reducer().pending() > 0 || front.HasUnsentAnswers() ||
-           (second && (second->reducer().pending() > 0 || second->Answering()));
+           (second && (second->reducer().pending() > 0 || second->HasUnsentAnswers()));
   };
   for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1)
     busy() ? loop.WaitAndRunOnce() : loop.RunOnce();
