--- a/src/fronts/console/console.cpp
+++ b/src/fronts/console/console.cpp
@@ -8,13 +8,13 @@
   Connection(Console& owner, int fd, const net::Address& from)
       : console(owner),
         reader(HTTP_REQUEST, kMaxRequestBytes),
-        timer(owner.shared_.loop,
+        timer(owner.context_.loop,
               [this] {
                 console.Remove(*this, !answered           ? net::Reason::kSlowRequest
                                       : stream.all_sent() ? net::Reason::kAnswered
                                                           : net::Reason::kSlowReader);
               }),
-        stream(owner.shared_, fd, "console " + net::ToText(from), *this) {
+        stream(owner.context_, fd, "console " + net::ToText(from), *this) {
     // Not restarted by incoming data: a request sent byte by byte must not keep its connection open.
     timer.Start(kRequestTime);
   }
@@ -47,11 +47,11 @@
   std::list<std::shared_ptr<Connection>>::iterator list_position;
 };
 
-Console::Console(net::StreamContext& shared, const net::Address& at, Handler handler)
-    : shared_(shared),
+Console::Console(net::StreamContext& context, const net::Address& at, Handler handler)
+    : context_(context),
       handler_(std::move(handler)),
       listener_(
-          shared.loop, at, {}, [this](bool must) { return FreeConnection(must); },
+          context.loop, at, {}, [this](bool must) { return FreeConnection(must); },
           [this](int fd, const net::Address& from) { OnAccepted(fd, from); }) {}
 
 Console::~Console() {
@@ -75,7 +75,7 @@
   if (std::exchange(connection.removed, true)) return;
   connection.timer.Stop();
   if (connection.stream.open()) connection.stream.Close(reason);
-  shared_.loop.DestroyLater(std::move(*connection.list_position));
+  context_.loop.DestroyLater(std::move(*connection.list_position));
   connections_.erase(connection.list_position);
 }
 
--- a/src/fronts/console/console.h
+++ b/src/fronts/console/console.h
@@ -40,7 +40,7 @@
   static constexpr std::size_t kMaxRequestBytes = 4 * 1024;  // head and body
 
   // Throws std::runtime_error if it cannot listen on `at`.
-  Console(net::StreamContext& shared, const net::Address& at, Handler handler);
+  Console(net::StreamContext& context, const net::Address& at, Handler handler);
   ~Console();
   Console(const Console&) = delete;
   Console& operator=(const Console&) = delete;
@@ -52,7 +52,7 @@
   void OnAccepted(int fd, const net::Address& from);
   void Remove(Connection& connection, net::Reason reason);
 
-  net::StreamContext& shared_;
+  net::StreamContext& context_;
   Handler handler_;
   std::list<std::shared_ptr<Connection>> connections_;  // oldest first
   net::Listener listener_;
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -23,19 +23,19 @@
 
 // The request as it is forwarded to a target, in the form that is stored and parsed again for each later
 // round.
-durable::JobSpec Front::ToTask(const Message& message, const pebblenotch::Request& request,
-                               std::string alias) {
+durable::JobSpec Front::ToJobSpec(const Message& message, const pebblenotch::Request& request,
+                                  std::string alias) {
   Headers headers;
   for (const char* name : kForwardedHeaders) {
     if (const auto* value = message.Find(name)) headers.emplace_back(name, *value);
   }
-  durable::JobSpec task;
-  task.job_class = request.job_class;
-  task.text = FormatRequest(message.method, message.target, headers, message.body);
-  task.alias = std::move(alias);
-  task.key = request.key;
-  task.priority = request.priority;
-  return task;
+  durable::JobSpec spec;
+  spec.job_class = request.job_class;
+  spec.text = FormatRequest(message.method, message.target, headers, message.body);
+  spec.alias = std::move(alias);
+  spec.key = request.key;
+  spec.priority = request.priority;
+  return spec;
 }
 
 bool Front::IsDurable(const Pending& pending) const {
@@ -63,7 +63,7 @@
                             const std::string& alias) {
   if (!BeginService(ingress)) return;
   ++open_lookups_;
-  const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - shared_.loop.Now();
+  const Micros left = arrived.request.deadline - core::Reducer::kAnswerMargin - context_.loop.Now();
   job_lookup_(alias, std::clamp<Micros>(left, 1, kLookupTimeout),
               [this, at = ingress.weak_from_this(), ticket = ingress.ticket, message = std::move(message),
                arrived = std::move(arrived), alias](const cluster::copies::LookupResult& result) {
@@ -94,7 +94,7 @@
 
 void Front::Join(Ingress& ingress, const Message& message, const std::string& id, int job_class) {
   ++join_count_;
-  if (reducer().ShedsAllArrivals(shared_.loop.Now()))
+  if (reducer().ShedsAllArrivals(context_.loop.Now()))
     return ingress.Respond(503, {{"Retry-After", FormatSeconds(kRetryAfter)}},
                            "shutting down; come again by the same key\n");
   if (!CanHoldRequest()) return ingress.Respond(503, {{"Retry-After", "1"}}, "too many requests held\n");
@@ -108,7 +108,7 @@
   joined.client = &ingress;
   joined.id = id;
   joined.timer = std::make_unique<net::Timer>(
-      shared_.loop, [this, ticket = ingress.ticket] { AskToRetry(joined_.find(ticket)); });
+      context_.loop, [this, ticket = ingress.ticket] { AskToRetry(joined_.find(ticket)); });
   joined.timer->Start(std::max<Micros>(1, timeout - core::Reducer::kAnswerMargin));
   joined_by_job_.emplace(id, ingress.ticket);
   // An answer in the job table may not be on disk yet.
@@ -141,7 +141,7 @@
     break;
   }
   it->second.timer->Stop();
-  shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->second.timer)));
+  context_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(it->second.timer)));
   joined_.erase(it);
 }
 
@@ -214,13 +214,13 @@
   pebblenotch::Request& r = arrived.request;
   r.id = ++last_ticket_;
   r.job_class = job->job_class;
-  r.deadline =
-      shared_.loop.Now() + config_.module.settings.classes[static_cast<std::size_t>(job->job_class)].deadline;
+  r.deadline = context_.loop.Now() +
+               config_.module.settings.classes[static_cast<std::size_t>(job->job_class)].deadline;
   r.key = job->key;
   r.priority = job->priority;
   ParseResources(message, r);
   if (rules_ != nullptr)
-    r.required_groups = rules_->Judge(shared_.loop.Now(), ToRuleRequest(message), true).only;
+    r.required_groups = rules_->Judge(context_.loop.Now(), ToRuleRequest(message), true).only;
   pending_bytes_ += message.size();
   pending_.emplace(r.id, Pending{nullptr, e.id, std::move(message)});
   driver_.Post(std::move(arrived));
--- a/src/fronts/http/egress.cpp
+++ b/src/fronts/http/egress.cpp
@@ -11,8 +11,9 @@
         target(to),
         at(address),
         reader(HTTP_RESPONSE, kMaxBodyBytes),
-        timer(owner.shared_.loop, [this] { OnTimer(); }),
-        stream(owner.shared_, address, owner.limits_.dial_timeout, "egress " + net::ToText(address), *this) {}
+        timer(owner.context_.loop, [this] { OnTimer(); }),
+        stream(owner.context_, address, owner.limits_.dial_timeout, "egress " + net::ToText(address), *this) {
+  }
 
   void OnConnected() override {
     if (call != 0) SendRequest();
@@ -44,7 +45,7 @@
   }
   void OnEnd(net::Reason) override {
     if (stream.connection_refused() && egress.dial_ended_) egress.dial_ended_(target, false);
-    if (call != 0 && reused) egress.avoid_reuse_until_ = egress.shared_.loop.Now() + kAvoidReuseTime;
+    if (call != 0 && reused) egress.avoid_reuse_until_ = egress.context_.loop.Now() + kAvoidReuseTime;
     // Once the last byte has been sent, the target may have run the request; before that, it cannot have.
     egress.Finish(
         *this, {fully_sent() ? CallResult::Kind::kConnectionLost : CallResult::Kind::kSendFailed, {}}, false);
@@ -96,10 +97,10 @@
   if (connections_.size() >= MostConnections() && !CloseOldestIdle()) {
     // Reported from the event loop, like every other outcome of a call.
     auto timer = std::make_shared<std::unique_ptr<net::Timer>>();
-    *timer = std::make_unique<net::Timer>(shared_.loop, [this, timer, done = std::move(done)] {
+    *timer = std::make_unique<net::Timer>(context_.loop, [this, timer, done = std::move(done)] {
       auto keep = std::move(*timer);
       done({CallResult::Kind::kNoDescriptor, {}});
-      shared_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(keep)));
+      context_.loop.DestroyLater(std::shared_ptr<net::Timer>(std::move(keep)));
     });
     (*timer)->Start(0);
     return id;
@@ -172,7 +173,7 @@
   const auto it =
       std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
   if (it == connections_.end()) return;
-  shared_.loop.DestroyLater(std::move(*it));
+  context_.loop.DestroyLater(std::move(*it));
   connections_.erase(it);
 }
 
--- a/src/fronts/http/egress.h
+++ b/src/fronts/http/egress.h
@@ -54,11 +54,11 @@
   // Reports the end of a connection attempt: established (`came_up`), or refused by the target's machine.
   using DialEnded = std::function<void(core::TargetId, bool came_up)>;
 
-  Egress(net::StreamContext& shared, const Limits& limits, DialEnded dial_ended = nullptr)
-      : shared_(shared),
+  Egress(net::StreamContext& context, const Limits& limits, DialEnded dial_ended = nullptr)
+      : context_(context),
         limits_(limits),
         dial_ended_(std::move(dial_ended)),
-        close_borrowed_(shared.loop, [this] { CloseBorrowed(); }) {}
+        close_borrowed_(context.loop, [this] { CloseBorrowed(); }) {}
 
   // Sends a request to a target. `done` is called once, unless the call is cancelled; this may happen before
   // Call returns, if a reused connection fails during the write. `response_timeout` is in microseconds; 0
@@ -93,9 +93,9 @@
   std::size_t MostConnections() const {
     return limits_.most_connections + (limits_.borrowable ? limits_.borrowable() : 0);
   }
-  bool AvoidsReuse() const { return shared_.loop.Now() < avoid_reuse_until_; }
+  bool AvoidsReuse() const { return context_.loop.Now() < avoid_reuse_until_; }
 
-  net::StreamContext& shared_;
+  net::StreamContext& context_;
   Limits limits_;
   DialEnded dial_ended_;
   net::Timer close_borrowed_;
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -61,9 +61,9 @@
   return Budget::From(sockets, static_cast<std::size_t>(config.memory_mb) * 1024 * 1024, others);
 }
 
-Front::Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+Front::Front(net::StreamContext& context, const config::Config& config, const config::Options& options,
              bool faktory, match::Service* rules, std::function<void()> drained)
-    : shared_(shared),
+    : context_(context),
       config_(config),
       rules_(rules),
       drained_(std::move(drained)),
@@ -74,29 +74,29 @@
             return rules != nullptr ? rules->GroupsOf(zone, kind, labels) : 0;
           }),
       egress_(
-          shared,
+          context,
           {config.dial_timeout, config.conn_idle, budget_.egress,
            [this] { return budget_.BorrowableByEgress(unused_descriptors_ ? unused_descriptors_() : 0); }},
           [this](core::TargetId target, bool came_up) { OnDialEnded(target, came_up); }),
       driver_(
-          shared.loop, config.module.settings, config.seed, kHopAcceptTimeout, options.limits,
+          context.loop, config.module.settings, config.seed, kHopAcceptTimeout, options.limits,
           [this](core::Effect& e) { Execute(e); },
           durable::OpenStore(options.durable, "http", config.classes, config.module.settings,
                              config.seed + 4),
           "http"),
-      watch_(shared, routes_, config.discovery, config.seed + 10, config.module.settings.stop_sending_within,
+      watch_(context, routes_, config.discovery, config.seed + 10, config.module.settings.stop_sending_within,
              [this](core::RoutesChanged change) {
                PublishObservations(change);
                driver_.Post(std::move(change));
              }),
       listener_(
-          shared.loop, config.listen, options.limits.accept,
+          context.loop, config.listen, options.limits.accept,
           [this](bool must) { return FreeDescriptor(must); },
           [this](int fd, const net::Address& from) { OnAccepted(fd, from); }),
-      close_idle_(shared.loop, [this] { CloseIdle(); }) {
+      close_idle_(context.loop, [this] { CloseIdle(); }) {
   if (durable()) driver_.Post(core::StoreLoaded{});
   // The age of the configured list is unknown; the reducer uses it once the watch reports that it may.
-  routes_.Apply(config.known, core::ListKind::kCached, {shared_.loop.Now(), net::Loop::WallClock()});
+  routes_.Apply(config.known, core::ListKind::kCached, {context_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
   watch_.ScheduleFirstCall();
 }
@@ -156,13 +156,13 @@
 
 std::size_t Front::CountUnselectableTargets() const {
   const pebblenotch::Dispatcher& module = reducer().module();
-  std::vector<bool> drawn;
+  std::vector<bool> selected;
   for (int c = 0; c < static_cast<int>(config_.classes.size()); ++c) {
     const std::vector<double> chances = module.DrawChances(c);
-    drawn.resize(std::max(drawn.size(), chances.size()), false);
-    for (std::size_t i = 0; i < chances.size(); ++i) drawn[i] = drawn[i] || chances[i] > 0;
+    selected.resize(std::max(selected.size(), chances.size()), false);
+    for (std::size_t i = 0; i < chances.size(); ++i) selected[i] = selected[i] || chances[i] > 0;
   }
-  const auto selectable = static_cast<std::size_t>(std::count(drawn.begin(), drawn.end(), true));
+  const auto selectable = static_cast<std::size_t>(std::count(selected.begin(), selected.end(), true));
   const std::size_t ready = routes_.Count(pebblenotch::WorkerState::kReady);
   return ready > selectable ? ready - selectable : 0;
 }
@@ -193,7 +193,7 @@
   if (stage == ingress.listed_stage) return;
   InStage(stage).splice(InStage(stage).end(), InStage(ingress.listed_stage), ingress.list_position);
   ingress.listed_stage = stage;
-  ingress.stage_since = shared_.loop.Now();
+  ingress.stage_since = context_.loop.Now();
 }
 
 // Frees a descriptor for a new connection if the budget is used up. Closes a connection that has been silent
@@ -203,16 +203,16 @@
 // descriptor left, whatever the budget says. Returns whether a connection can be accepted.
 bool Front::FreeDescriptor(bool must) {
   if (!must && connection_count_ < budget_.ingress) return true;
-  const auto has_waiting = [this](Stage stage) {
+  const auto has_silent = [this](Stage stage) {
     const auto& connections = InStage(stage);
-    return !connections.empty() && shared_.loop.Now() - connections.front()->stage_since > kSilentTime;
+    return !connections.empty() && context_.loop.Now() - connections.front()->stage_since > kSilentTime;
   };
   for (int tries = 0; tries < kMaxEvictionTries; ++tries) {
-    const Stage stage = has_waiting(Stage::kNew)              ? Stage::kNew
+    const Stage stage = has_silent(Stage::kNew)               ? Stage::kNew
                         : !InStage(Stage::kUnserved).empty()  ? Stage::kUnserved
                         : !InStage(Stage::kKeptAlive).empty() ? Stage::kKeptAlive
                                                               : Stage::kReceiving;
-    if (stage == Stage::kReceiving && !has_waiting(stage)) {
+    if (stage == Stage::kReceiving && !has_silent(stage)) {
       OnIngressFull();
       return false;
     }
@@ -229,7 +229,7 @@
 
 void Front::OnIngressFull() {
   if (full_since_ >= 0) return;
-  full_since_ = shared_.loop.Now();
+  full_since_ = context_.loop.Now();
   log::Event(log::Level::kWarn, "ingress",
              {{"front", "http", true},
               {"state", "full"},
@@ -242,7 +242,7 @@
 
 void Front::OnIngressAvailable() {
   if (full_since_ < 0) return;
-  const Micros waited = shared_.loop.Now() - std::exchange(full_since_, -1);
+  const Micros waited = context_.loop.Now() - std::exchange(full_since_, -1);
   longest_full_time_ = std::max(longest_full_time_, waited);
   log::Event(log::Level::kInfo, "ingress",
              {{"front", "http", true}, {"state", "room"}, {"was_full_ms", waited / 1000}});
@@ -265,11 +265,11 @@
   // Iterates over a copy, because connections that are read or closed leave the list.
   for (const auto& recent : ConnectionList(InStage(Stage::kNew))) {
     if (recent->removed || recent->reader.started() ||
-        shared_.loop.Now() - recent->connected_at <= kSilentTime)
+        context_.loop.Now() - recent->connected_at <= kSilentTime)
       continue;
     if (!recent->stream.ReadPending() && !recent->removed) Remove(*recent, net::Reason::kShutdown);
   }
-  if (reducer().ShedsAllArrivals(shared_.loop.Now())) {
+  if (reducer().ShedsAllArrivals(context_.loop.Now())) {
     if (!std::exchange(rejecting_, true)) LogStopState("refusing");
     RejectIncomplete();
   }
@@ -391,7 +391,7 @@
   incoming_bytes_ -= std::exchange(ingress.counted_bytes, 0);
   --connection_count_;
   auto& connections = InStage(ingress.listed_stage);
-  shared_.loop.DestroyLater(std::move(*ingress.list_position));
+  context_.loop.DestroyLater(std::move(*ingress.list_position));
   connections.erase(ingress.list_position);
 }
 
@@ -427,9 +427,9 @@
   if (advice.kind == cluster::FactKind::kStarted) {
     // A start time in the future cannot have been observed; with it the target would stay in slow start for
     // ever.
-    if (advice.since > shared_.loop.Now() + kMaxClockDifference) return;
+    if (advice.since > context_.loop.Now() + kMaxClockDifference) return;
     auto change =
-        routes_.RecordRestart(advice.target, advice.since, {shared_.loop.Now(), net::Loop::WallClock()});
+        routes_.RecordRestart(advice.target, advice.since, {context_.loop.Now(), net::Loop::WallClock()});
     if (change && watch_.usable()) driver_.Post(std::move(*change));
     return;
   }
@@ -443,7 +443,7 @@
 // Detects restarts that nothing else reports, so that a restarted target gets slow start instead of full
 // traffic.
 void Front::OnDialEnded(core::TargetId target, bool came_up) {
-  const Micros now = shared_.loop.Now();
+  const Micros now = context_.loop.Now();
   if (!came_up) return restarts_.ConnectionRefused(target, now);
   if (!restarts_.ConnectionEstablished(target, watch_.last_answer_at())) return;
   auto change = routes_.RecordRestart(target, now, {now, net::Loop::WallClock()});
@@ -457,7 +457,7 @@
 void Front::PublishObservations(const core::RoutesChanged& change) {
   if (!observation_sink_) return;
   for (const auto& entry : change.entries) {
-    if (entry.claimed_started_at > shared_.loop.Now() - config_.module.settings.slow_start_time)
+    if (entry.claimed_started_at > context_.loop.Now() - config_.module.settings.slow_start_time)
       observation_sink_({cluster::FactKind::kStarted, entry.id, entry.claimed_started_at, false});
   }
 }
@@ -532,7 +532,7 @@
               {"made_room", evicted_},
               {"longest_full_ms", longest_full_time_ / 1000},
               {"egress", egress_.connections()},
-              {"buffers", shared_.pool.in_use()},
+              {"buffers", context_.pool.in_use()},
               {"paced", listener_.paced()}});
 }
 
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -35,7 +35,7 @@
  public:
   // `faktory`: the Faktory front is enabled and has its share of the descriptors. `rules`: evaluated for each
   // request; null if there are none. `drained`: called when a graceful shutdown has completed.
-  Front(net::StreamContext& shared, const config::Config& config, const config::Options& options,
+  Front(net::StreamContext& context, const config::Config& config, const config::Options& options,
         bool faktory, match::Service* rules, std::function<void()> drained);
   ~Front();
   void Drain();  // starts a graceful shutdown; further calls have no effect
@@ -53,7 +53,7 @@
   core::Invariants invariants() const;  // violations counted by the reducer and by the connections
   // Checks, right before the process exits, that no request is unanswered.
   void CheckBeforeExit() { checks_.Check(core::Invariant::kAnsweredBeforeExit, reducer().pending() == 0); }
-  bool HasUnsentAnswers() const;  // a response has not been sent completely
+  bool HasUnsentAnswers() const;  // a response is not sent completely, or a job lookup is in progress
   // Open connections from clients and from targets that send callbacks.
   std::size_t connection_count() const { return connection_count_; }
   net::Address address() const { return listener_.address(); }
@@ -133,8 +133,8 @@
   void HandleCallback(Ingress& ingress, const Message& message);
   bool durable() const { return reducer().job_manager() != nullptr; }
   void Join(Ingress& ingress, const Message& message, const std::string& job, int job_class);
-  static durable::JobSpec ToTask(const Message& message, const pebblenotch::Request& request,
-                                 std::string alias);
+  static durable::JobSpec ToJobSpec(const Message& message, const pebblenotch::Request& request,
+                                    std::string alias);
   static std::string JobAlias(const std::string& class_name, const std::string& key);
   bool IsDurable(const Pending& pending) const;
   void RemoveJoined(std::map<core::Ticket, Joined>::iterator it);
@@ -169,7 +169,7 @@
   std::optional<pebblenotch::Report> ParseLoad(std::string_view text) const;
   std::optional<pebblenotch::Report> ToReport(const std::map<std::string, double>& values) const;
 
-  net::StreamContext& shared_;
+  net::StreamContext& context_;
   const config::Config& config_;
   match::Service* rules_;
   std::function<void()> drained_;
--- a/src/fronts/http/hops.cpp
+++ b/src/fronts/http/hops.cpp
@@ -38,7 +38,7 @@
 // Formats the request to the target. Req-Deadline-Ms is the time left at the moment of sending.
 std::string Front::FormatHop(const Pending& pending, const net::Address& to, Micros until) const {
   const Message& m = pending.message;
-  const Micros left_ms = std::max<Micros>(1, (until - shared_.loop.Now()) / 1000);
+  const Micros left_ms = std::max<Micros>(1, (until - context_.loop.Now()) / 1000);
   Headers headers = {
       {"Host", net::ToText(to)}, {"Req-Id", pending.id}, {"Req-Deadline-Ms", std::to_string(left_ms)}};
   for (const char* name : kForwardedHeaders) {
@@ -110,7 +110,7 @@
   if (auto call = open_calls_.find({e.request, e.hop}); call != open_calls_.end()) {
     // The target's 202 may have arrived and not been read yet. Once it has accepted the hop, closing the
     // connection no longer cancels it, and it would run on beside the next hop.
-    const std::uint64_t taken = accepted_hops_;
+    const std::uint64_t accepted_before = accepted_hops_;
     egress_.ReadPendingData(call->second);
     call = open_calls_.find({e.request, e.hop});
     if (call != open_calls_.end()) {  // not accepted yet: closing the connection cancels it
@@ -118,7 +118,7 @@
       open_calls_.erase(call);
       return driver_.Post(core::HopCancelled{e.request, e.hop, never_ran});
     }
-    if (accepted_hops_ == taken)
+    if (accepted_hops_ == accepted_before)
       return driver_.Post(cancelled);  // it has ended, and its HopEnded was posted first
   }
   const auto* route = routes_.Find(e.target);
@@ -138,12 +138,12 @@
 void Front::Perform(core::StartProbe& e) {
   const auto* route = routes_.Find(e.target);
   if (route == nullptr) return;
-  const Micros sent = shared_.loop.Now();
+  const Micros sent = context_.loop.Now();
   egress_.Call(
       e.target, route->address,
       FixedRequest(FormatRequest("GET", "/status/load", {{"Host", net::ToText(route->address)}}, {})),
       kProbeTimeout, true, [this, target = e.target, sent](const CallResult& result) {
-        core::ProbeEnded ended{target, core::Result::kOk, shared_.loop.Now() - sent, {}};
+        core::ProbeEnded ended{target, core::Result::kOk, context_.loop.Now() - sent, {}};
         if (result.kind == CallResult::Kind::kResponse && result.message.status == 200) {
           ended.report = ParseLoad(result.message.body);
         } else {
--- a/src/fronts/http/ingress.h
+++ b/src/fronts/http/ingress.h
@@ -26,9 +26,9 @@
   Ingress(Front& owner, int fd, const net::Address& from)
       : front(owner),
         reader(HTTP_REQUEST, kMaxBodyBytes),
-        timer(owner.shared_.loop, [this] { OnTimer(); }),
-        stream(owner.shared_, fd, "ingress " + net::ToText(from), *this),
-        connected_at(owner.shared_.loop.Now()),
+        timer(owner.context_.loop, [this] { OnTimer(); }),
+        stream(owner.context_, fd, "ingress " + net::ToText(from), *this),
+        connected_at(owner.context_.loop.Now()),
         peer(from) {
     // Not restarted by incoming data: a request sent byte by byte must not keep its connection open.
     timer.Start(kFirstRequestTime);
@@ -44,10 +44,10 @@
       // A pipelined request is buffered until the current one has its response. Beyond the limit, reading is
       // paused rather than the connection closed, which would lose the response to the current request.
       pipelined.append(bytes);
-      pipelined_received_at = front.shared_.loop.Now();
+      pipelined_received_at = front.context_.loop.Now();
       if (pipelined.size() > kMaxPipelinedBytes) stream.PauseReading(true);
     } else {
-      received_at = front.shared_.loop.Now() - stream.SinceLastReceived();
+      received_at = front.context_.loop.Now() - stream.SinceLastReceived();
       Feed(bytes);
     }
     if (stream.open()) front.UpdateStage(*this);
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -69,7 +69,7 @@
   if (rules_ == nullptr) return {};
   match::Request r = ToRuleRequest(message);
   r.peer = match::Mapped(&ingress.peer.sin_addr);
-  const auto decision = rules_->Judge(shared_.loop.Now(), r);
+  const auto decision = rules_->Judge(context_.loop.Now(), r);
   if (decision.marked_by != nullptr)
     log::Event(log::Level::kInfo, "marked",
                {{"front", "http", true}, {"rule", *decision.marked_by}, {"path", r.path}});
@@ -174,7 +174,7 @@
     arrived.client = *object;
     arrived.client_names_job = false;
   }
-  if (!alias.empty() && !arrived.no_capacity) arrived.task = ToTask(message, r, alias);
+  if (!alias.empty() && !arrived.no_capacity) arrived.task = ToJobSpec(message, r, alias);
   if (arrived.no_capacity) message = {};  // the shed request's message is not kept
   pending_bytes_ += message.size();
   pending_.emplace(r.id, Pending{&ingress, arrived.id, std::move(message)});
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -35,9 +35,9 @@
     json.insert(json.find("\"mayCancel\""), "\"dialTimeout\":5000000,");
     if (!may_cancel) json.replace(json.find("\"mayCancel\":true"), 16, "\"mayCancel\":false");
     config = config::Parse(json, config::Reading::kStart);
-    shared.log_connections = false;
+    context.log_connections = false;
     front =
-        std::make_unique<http::Front>(shared, config, options, false, nullptr, [this] { drained = true; });
+        std::make_unique<http::Front>(context, config, options, false, nullptr, [this] { drained = true; });
     if (site.discovery != story::Site().discovery) return;  // the test acts as discovery
     EXPECT_TRUE(RunUntil([this] { return front->Ready(); }));
   }
@@ -76,7 +76,7 @@
 
   net::BufferPool pool{256};
   net::Loop loop;
-  net::StreamContext shared{loop, pool};
+  net::StreamContext context{loop, pool};
   config::Config config;
   config::Options options;
   std::unique_ptr<http::Front> front;
@@ -235,9 +235,9 @@
 TEST(EventOrder, AWithdrawnRequestIsNotSentOnceTheDialEnds) {
   net::BufferPool pool{64};
   net::Loop loop;
-  net::StreamContext shared{loop, pool, false};
+  net::StreamContext context{loop, pool, false};
   Peer worker;
-  http::Egress egress(shared, {1'000'000, 5'000'000, 8});
+  http::Egress egress(context, {1'000'000, 5'000'000, 8});
   std::vector<http::CallResult::Kind> ends;
   const auto done = [&ends](const http::CallResult& result) { ends.push_back(result.kind); };
   const auto run_until = [&loop](const std::function<bool()>& condition) {
