--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -1,5 +1,4 @@
-// The reducer's part in durable jobs: records and rounds, and jobs that come from another scheduler or go
-// there.
+// Durable jobs in the reducer: records, rounds, leases, and the transfer of jobs between schedulers.
 #include <algorithm>
 #include <utility>
 
@@ -7,11 +6,11 @@
 
 namespace heronway::core {
 
-// What is decided is in the records before what rests on it is among the effects.
+// Emits the pending records. Callers do this before they emit an effect that depends on one of them.
 void Reducer::EmitRecords() {
   if (records_.empty()) return;
   std::vector<Settled> settled;
-  std::vector<Persist> parts;  // one for each store; nearly always one
+  std::vector<Persist> parts;  // one for each store; usually only one
   for (auto& r : records_) {
     if (r.kind == durable::RecordKind::kFinished || r.kind == durable::RecordKind::kDiscarded)
       settled.push_back(Settled{r.id, r.store_id});
@@ -25,7 +24,7 @@
   for (auto& s : settled) effects_->push_back(std::move(s));
 }
 
-void Reducer::FinishRound(const Job& job, AnswerKind kind, Micros wait) {
+void Reducer::FinishRound(const Job& job, AnswerKind kind, Micros retry_delay) {
   using End = durable::JobManager::DispatchResult;
   const auto id = job.id;
   job_manager_->DispatchEnded(now_, id,
@@ -33,11 +32,11 @@
                               : kind == AnswerKind::kShed     ? End::kShed
                               : kind == AnswerKind::kRejected ? End::kRejected
                                                               : End::kFailed,
-                              wait, records_);
+                              retry_delay, records_);
   if (job.round) {
-    --rounds_;
+    --rounds_in_progress_;
   } else if (kind == AnswerKind::kShed) {
-    // The client is told that nothing was done: so nothing is kept of it.
+    // The client is told that the job was not accepted, so the job is not kept.
     job_manager_->Discard(now_, id, records_);
   } else if (kind == AnswerKind::kFailed) {
     job_manager_->FailWaiting(now_, id, records_);
@@ -46,7 +45,7 @@
 }
 
 void Reducer::StartDueRounds() {
-  while (drain_began_ < 0) {
+  while (drain_started_at_ < 0) {
     auto id = job_manager_->NextToDispatch(now_, records_);
     if (!id) break;
     EmitRecords();
@@ -54,16 +53,16 @@
     effects_->push_back(StartRound{std::move(*id), store_id});
   }
   EmitRecords();
-  const Micros next = drain_began_ < 0 ? job_manager_->next_wakeup(now_) : -1;
+  const Micros next = drain_started_at_ < 0 ? job_manager_->next_wakeup(now_) : -1;
   if (next >= 0 && (job_manager_wakeup_ == 0 || next < job_manager_wakeup_))
-    due_.push({job_manager_wakeup_ = next, 0, 4, 0});
+    timers_.push({job_manager_wakeup_ = next, 0, kJobManagerTimer, 0});
 }
 
-void Reducer::CheckLeases() {
+void Reducer::ProcessExpiredLeases() {
   job_manager_wakeup_ = 0;
-  std::vector<std::string> lapsed;
-  job_manager_->ProcessDue(now_, records_, lapsed);
-  for (const auto& id : lapsed) {
+  std::vector<std::string> expired;
+  job_manager_->ProcessDue(now_, records_, expired);
+  for (const auto& id : expired) {
     const auto it = by_id_.find(id);
     const auto job = it == by_id_.end() ? jobs_.end() : jobs_.find(it->second);
     if (job == jobs_.end()) continue;
@@ -75,74 +74,75 @@
   }
 }
 
-// Its client is told that the outcome is not known, and the job becomes a round as if that had gone. What is
-// told promises nothing, so it waits for no record.
+// Answers the client that the outcome is unknown. The job continues as a round without a client, as if the
+// client had disconnected. This answer commits to nothing, so it does not wait for the records to be stored.
 void Reducer::AnswerAndContinueJob(Ticket ticket) {
   Job& job = jobs_.at(ticket);
   job.round = true;
-  ++rounds_;
+  ++rounds_in_progress_;
   ++counters_.failed;
-  ++CountsOf(job.job_class).errored;
+  ++ClassCountsOf(job.job_class).errored;
   if (job.tenant != TenantTable::kNone) ++tenants_.At(job.tenant).failed;
   effects_->push_back(Answer{ticket, AnswerKind::kFailed, 0, {}, false, job.deadline, job.store_id});
 }
 
-// At a planned stop: what no worker has yet waits in the store.
+// During a graceful shutdown: withdraws rounds that have no hop in flight; their jobs wait in the store.
 void Reducer::EndIdleRounds() {
   std::vector<Ticket> idle;
   for (const auto& [ticket, job] : jobs_) {
-    const bool out = std::any_of(job.hops.begin(), job.hops.end(),
-                                 [](const Hop& h) { return h.state != HopState::kEnded; });
-    if (job.round && !job.answered && !out) idle.push_back(ticket);
+    const bool hop_in_flight = std::any_of(job.hops.begin(), job.hops.end(),
+                                           [](const Hop& h) { return h.state != HopState::kEnded; });
+    if (job.round && !job.answered && !hop_in_flight) idle.push_back(ticket);
   }
   for (const Ticket ticket : idle) {
     Job& job = jobs_.at(ticket);
     job.answered = true;
-    --held_;
-    --rounds_;
+    --unanswered_;
+    --rounds_in_progress_;
     RetainId(job.id);
     job_manager_->DispatchEnded(now_, job.id, durable::JobManager::DispatchResult::kWithdrawn, 0, records_);
-    TellModule(pebblenotch::ClientGone{ticket});
-    ForgetIfOver(ticket);
+    NotifyModule(pebblenotch::ClientGone{ticket});
+    EraseIfFinished(ticket);
   }
 }
 
 namespace {
 
-durable::JobManager::WorkerReport SaidBy(CallbackState news) {
-  using Said = durable::JobManager::WorkerReport;
-  switch (news) {
+durable::JobManager::WorkerReport WorkerReportFor(CallbackState state) {
+  using WorkerReport = durable::JobManager::WorkerReport;
+  switch (state) {
     case CallbackState::kStarted:
-      return Said::kStarted;
+      return WorkerReport::kStarted;
     case CallbackState::kRunning:
-      return Said::kRunning;
+      return WorkerReport::kRunning;
     case CallbackState::kDone:
-      return Said::kDone;
+      return WorkerReport::kDone;
     case CallbackState::kFailed:
-      return Said::kFailed;
+      return WorkerReport::kFailed;
     case CallbackState::kReturned:
-      return Said::kReturned;
+      return WorkerReport::kReturned;
     case CallbackState::kLost:
       break;
   }
-  return Said::kLost;
+  return WorkerReport::kLost;
 }
 
 }  // namespace
 
-// A hop's word while its round is on. A failure within a client's wait is one hop's end: the module may try
-// another.
-void Reducer::ReportToKeeper(const Job& job, int hop, const HopCallback& e) {
+// Handles a callback from the hop of a round in progress. While a client waits, a failure ends only this hop:
+// the module may start another.
+void Reducer::ReportToJobManager(const Job& job, int hop, const HopCallback& e) {
   if (e.state == CallbackState::kFailed && !job.round) return;
-  job_manager_->HandleReport(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.state),
-                             e.result, records_);
+  job_manager_->HandleReport(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch,
+                             WorkerReportFor(e.state), e.result, records_);
 }
 
-// Word of a job that no round is on for: its holder had it from before a crash, or lost it meanwhile.
-void Reducer::OnUnmatchedCallback(const HopCallback& e) {
+// Handles a callback that matches no hop in flight. Its sender may hold the job since before a crash of this
+// process, or its lease may have ended meanwhile.
+void Reducer::HandleUnmatchedCallback(const HopCallback& e) {
   const auto epoch = job_manager_->CurrentEpoch(e.id, e.from);
   if (epoch == 0 || job_manager_->IsActive(e.id) ||
-      !job_manager_->HandleReport(now_, e.id, epoch, SaidBy(e.state), e.result, records_))
+      !job_manager_->HandleReport(now_, e.id, epoch, WorkerReportFor(e.state), e.result, records_))
     ++counters_.late_callbacks;
 }
 
@@ -171,9 +171,9 @@
 
 void Reducer::On(HomeClosing& e) { job_manager_->CloseStore(e.store_id); }
 
-// Guards against a second answer, and a second run, when another looks after these jobs: what it decides is
-// not known here, so clients are told that the outcome is not known, and nothing is recorded. Hops that are
-// out are left to their workers: whoever looks after the jobs now counts on them by their leases.
+// Prevents a second answer and a second run now that another scheduler manages these jobs. Its decisions are
+// not known here, so clients are told that the outcome is unknown, and nothing is recorded. Hops in flight
+// are not cancelled: the other scheduler knows them from their leases and relies on them.
 void Reducer::On(HomeLost& e) {
   std::vector<Ticket> tickets;
   for (const auto& [ticket, job] : jobs_) {
@@ -183,10 +183,10 @@
     Job& job = jobs_.at(ticket);
     job.durable = false;
     if (job.answered) continue;
-    rounds_ -= std::exchange(job.round, false) ? 1 : 0;
+    rounds_in_progress_ -= std::exchange(job.round, false) ? 1 : 0;
     FinalAnswer(ticket, AnswerKind::kFailed, 0, {});
-    TellModule(pebblenotch::ClientGone{ticket});
-    ForgetIfOver(ticket);
+    NotifyModule(pebblenotch::ClientGone{ticket});
+    EraseIfFinished(ticket);
   }
   std::vector<std::string> ids;
   job_manager_->DropStore(e.store_id, ids);
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -5,14 +5,14 @@
 
 namespace heronway::core {
 
-Reducer::Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit,
+Reducer::Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros accept_timeout,
                  const limits::Settings& limits, std::unique_ptr<durable::JobManager> job_manager)
     : settings_(settings),
       stop_times_(StopTimes::From(settings)),
       module_(settings, seed, now),
       job_manager_(std::move(job_manager)),
       now_(now),
-      take_limit_(take_limit) {
+      accept_timeout_(accept_timeout) {
   if (limits.enabled) limits_ = std::make_unique<limits::Limits>(limits, settings, seed ^ 0x6c696d697473ULL);
 }
 
@@ -21,10 +21,10 @@
   effects_ = &effects;
   std::visit([this](auto& e) { On(e); }, event);
   if (job_manager_) StartDueRounds();
-  // Durable jobs that are at work need no answer before the end, only some time to have one.
-  const bool rounds_over = rounds_ == 0 || now_ >= drain_began_ + stop_times_.answers_due;
-  if (drain_began_ >= 0 && !drained_ && pending() == 0 && rounds_over &&
-      now_ >= drain_began_ + stop_times_.earliest_exit) {
+  // Rounds without a client need no answer before the exit; they only get time to end until answers are due.
+  const bool rounds_done = rounds_in_progress_ == 0 || now_ >= drain_started_at_ + stop_times_.answers_due;
+  if (drain_started_at_ >= 0 && !drained_ && pending() == 0 && rounds_done &&
+      now_ >= drain_started_at_ + stop_times_.earliest_exit) {
     drained_ = true;
     effects.push_back(Drained{});
   }
@@ -33,14 +33,17 @@
     if (!change) break;
     effects.push_back(StormChanged{std::move(*change)});
   }
-  if (limits_ && limits_->state() != limits::StormState::kCalm && !std::exchange(watching_, true))
-    due_.push({now_ + kStormCheckInterval, 0, 3, 0});
-  if (!due_.empty() && due_.top().at != armed_) effects.push_back(WakeAt{armed_ = due_.top().at});
+  if (limits_ && limits_->state() != limits::StormState::kCalm &&
+      !std::exchange(storm_check_scheduled_, true))
+    timers_.push({now_ + kStormCheckInterval, 0, kStormCheckTimer, 0});
+  if (!timers_.empty() && timers_.top().at != armed_wakeup_)
+    effects.push_back(WakeAt{armed_wakeup_ = timers_.top().at});
   effects_ = nullptr;
 }
 
-// The module is told one thing at a time: what carrying out an action tells it in turn waits its turn.
-void Reducer::TellModule(const pebblenotch::Event& event) {
+// Passes one event to the module and executes the actions that result. Executing an action may pass a further
+// event to the module; the actions of that event are queued behind those that are already waiting.
+void Reducer::NotifyModule(const pebblenotch::Event& event) {
   std::vector<pebblenotch::Action> actions;
   UpdateAllowance();
   module_.handle(now_, event, actions);
@@ -63,39 +66,40 @@
     job.hops.push_back({push->worker, now_});
     ++hops_in_flight_;
     if (limits_) limits_->HopSent(now_, job.job_class, hop > 0);
-    Micros limit = job.deadline - now_;
-    if (push->time_limit > 0) limit = std::min(limit, push->time_limit);
-    if (job.hop_timeout > 0) limit = std::min(limit, job.hop_timeout);
-    // Guards the attempt limit, a push after the end, and one for a client that has gone: such a hop is never
-    // sent.
-    if (job.answered || job.away || hop >= job.max_hops || limit <= 0 || !MayStartHop(job, limit))
+    Micros time_limit = job.deadline - now_;
+    if (push->time_limit > 0) time_limit = std::min(time_limit, push->time_limit);
+    if (job.hop_timeout > 0) time_limit = std::min(time_limit, job.hop_timeout);
+    // A hop is not sent after the answer, while the client is away, beyond the hop limit or without time.
+    if (job.answered || job.away || hop >= job.max_hops || time_limit <= 0 || !MayStartHop(job, time_limit))
       return EndHop(push->id, hop, Result::kMoot, std::nullopt, job.answered);
     if (job.durable) {
-      const auto to = target_locations_.find(push->worker);
+      const auto location = target_locations_.find(push->worker);
       const auto epoch =
-          drain_began_ < 0 || !job.round
-              ? job_manager_->Lease(
-                    now_, job.id,
-                    to != target_locations_.end() ? to->second : durable::LeaseHolder{push->worker}, records_)
+          drain_started_at_ < 0 || !job.round
+              ? job_manager_->Lease(now_, job.id,
+                                    location != target_locations_.end() ? location->second
+                                                                        : durable::LeaseHolder{push->worker},
+                                    records_)
               : std::nullopt;
-      // Guards what may have run in an earlier round, or an earlier life, against a worker that knows nothing
-      // of it.
+      // Without a lease the hop is not sent: the job may have run in an earlier round, or before a restart of
+      // this process, on a worker other than this one.
       if (!epoch) return EndHop(push->id, hop, Result::kMoot, std::nullopt, false);
       job.hops.back().epoch = *epoch;
       EmitRecords();
     }
-    due_.push({now_ + limit, push->id, hop, 0});
-    if (take_limit_ > 0 && take_limit_ < limit) due_.push({now_ + take_limit_, push->id, hop, 0, true});
+    timers_.push({now_ + time_limit, push->id, hop, 0});
+    if (accept_timeout_ > 0 && accept_timeout_ < time_limit)
+      timers_.push({now_ + accept_timeout_, push->id, hop, 0, true});
     ++counters_.hops;
-    ++CountsOf(job.job_class).sends;
-    effects_->push_back(SendHop{push->id, hop, push->worker, now_ + limit, job.durable, job.store_id});
-  } else if (const auto* refuse = std::get_if<pebblenotch::Shed>(&action)) {
-    const auto it = jobs_.find(refuse->id);
-    const bool told = limits_ && it != jobs_.end() && !it->second.answered;
-    FinalAnswer(refuse->id, AnswerKind::kShed,
-                told ? limits_->RequestShed(now_, it->second.job_class, it->second.client,
-                                            refuse->retry_after, it->second.came)
-                     : refuse->retry_after,
+    ++ClassCountsOf(job.job_class).sends;
+    effects_->push_back(SendHop{push->id, hop, push->worker, now_ + time_limit, job.durable, job.store_id});
+  } else if (const auto* shed = std::get_if<pebblenotch::Shed>(&action)) {
+    const auto it = jobs_.find(shed->id);
+    const bool limits_set_delay = limits_ && it != jobs_.end() && !it->second.answered;
+    FinalAnswer(shed->id, AnswerKind::kShed,
+                limits_set_delay ? limits_->RequestShed(now_, it->second.job_class, it->second.client,
+                                                        shed->retry_after, it->second.arrival)
+                                 : shed->retry_after,
                 {});
   } else if (const auto* fail = std::get_if<pebblenotch::Fail>(&action)) {
     FinalAnswer(fail->id, AnswerKind::kFailed, 0, {});
@@ -107,26 +111,27 @@
   } else if (std::holds_alternative<pebblenotch::Subscribe>(action)) {
     effects_->push_back(SubscribeRoutes{});
   } else if (const auto* timer = std::get_if<pebblenotch::ArmTimer>(&action)) {
-    due_.push({timer->at, 0, 0, timer->label});
+    timers_.push({timer->at, 0, kModuleTimer, timer->label});
   }
 }
 
-// The one guard for attempts, whatever asked for them: the last of the job's hops is the one that would
-// begin. What it finds is a fault of the decisions; the attempt is not sent.
-bool Reducer::MayStartHop(const Job& job, Micros limit) {
+// Checks the invariants of sending. The last of the job's hops is the one to be sent; the others came before
+// it. A violation is a fault of the module's decision, and the caller then does not send the hop.
+bool Reducer::MayStartHop(const Job& job, Micros time_limit) {
   Invariants& invariants = counters_.invariants;
-  const auto at = static_cast<std::size_t>(job.job_class);
-  const bool unsafe = at < settings_.classes.size() &&
-                      settings_.classes[at].idempotency == pebblenotch::Idempotency::kAtMostOnce;
-  bool out = false, may_have_run = false;
+  const auto index = static_cast<std::size_t>(job.job_class);
+  const bool unsafe = index < settings_.classes.size() &&
+                      settings_.classes[index].idempotency == pebblenotch::Idempotency::kAtMostOnce;
+  bool hop_in_flight = false, may_have_run = false;
   for (std::size_t i = 0; i + 1 < job.hops.size(); ++i) {
-    out |= job.hops[i].state != HopState::kEnded;
+    hop_in_flight |= job.hops[i].state != HopState::kEnded;
     may_have_run |= job.hops[i].may_have_run;
   }
-  const bool alone = invariants.Check(Invariant::kOneHopInFlight, !out || settings_.concurrent_attempts);
-  const bool repeatable = invariants.Check(Invariant::kRetryAllowed, !(unsafe && may_have_run));
-  const bool in_time = invariants.Check(Invariant::kTimeLeft, limit <= job.deadline - now_);
-  return alone && repeatable && in_time;
+  const bool only_hop =
+      invariants.Check(Invariant::kOneHopInFlight, !hop_in_flight || settings_.concurrent_attempts);
+  const bool retry_allowed = invariants.Check(Invariant::kRetryAllowed, !(unsafe && may_have_run));
+  const bool in_time = invariants.Check(Invariant::kTimeLeft, time_limit <= job.deadline - now_);
+  return only_hop && retry_allowed && in_time;
 }
 
 Invariants Reducer::invariants() const {
@@ -138,11 +143,11 @@
 void Reducer::On(RequestArrived& e) {
   const Ticket ticket = e.request.id;
   ++counters_.taken;
-  ++held_;
+  ++unanswered_;
   e.request.deadline -= kAnswerMargin;
-  // While stopping, nobody is promised more time than there is.
-  if (drain_began_ >= 0 && !e.round)
-    e.request.deadline = std::min(e.request.deadline, drain_began_ + stop_times_.answers_due);
+  // During a graceful shutdown, no deadline is later than the time at which all answers are due.
+  if (drain_started_at_ >= 0 && !e.round)
+    e.request.deadline = std::min(e.request.deadline, drain_started_at_ + stop_times_.answers_due);
   by_id_.emplace(e.id, ticket);
   Job& job = jobs_[ticket];
   job.id = std::move(e.id);
@@ -153,74 +158,77 @@
   job.job_class = e.request.job_class;
   job.round = e.round;
   job.durable = e.round || e.task.has_value();
-  rounds_ += e.round ? 1 : 0;
+  rounds_in_progress_ += e.round ? 1 : 0;
   if (e.task) job.durable = job_manager_->Accept(now_, job.id, std::move(*e.task), true, records_);
   job.store_id = job.durable ? job_manager_->StoreIdOf(job.id) : 0;
   if (!e.tenant.empty()) ++tenants_.At(job.tenant = tenants_.IndexOf(e.tenant)).taken;
   if (limits_) {
     job.client = limits_->HashOf(e.client, job.job_class);
-    job.came = limits_->Arrived(now_, job.job_class, job.client, e.request.client_retry, e.client_names_job);
-    e.request.return_timing = job.came.return_timing;
+    job.arrival =
+        limits_->Arrived(now_, job.job_class, job.client, e.request.client_retry, e.client_names_job);
+    e.request.return_timing = job.arrival.return_timing;
   }
-  // Guards the first rule at the end of a planned stop: what comes after the late arrivals' answers were
-  // due would find the program killed unanswered; it is refused at once, and its client comes again,
-  // to the process that replaces this one, or to another.
+  // Every request gets an answer: after answers_due the process may be killed before it could answer a new
+  // request. Such a request is shed immediately, and its client retries with another process or with the one
+  // that replaces this one.
   if (e.no_capacity || ShedsAllArrivals(now_)) {
     UpdateAllowance();
     const Micros wait =
-        limits_ ? limits_->RequestShed(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.came)
+        limits_ ? limits_->RequestShed(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.arrival)
                 : kNoCapacityRetryAfter;
     return FinalAnswer(ticket, AnswerKind::kShed, wait, {});
   }
-  TellModule(e.request);
+  NotifyModule(e.request);
 }
 
-// Guards against call-backs that come twice, before the carrier's own answer, or late from a hop that was
-// called off: only the hop that is out, at the target that speaks, is meant. A request goes to no target
-// twice (the module sets those aside), so the target's name tells the hop.
+// Callbacks may arrive twice, before the response of the transport, or late from a cancelled hop. A callback
+// applies only to a hop in flight at the target that sent it. The target identifies the hop, because the
+// module does not send a request to the same target twice.
 void Reducer::On(HopCallback& e) {
   const auto it = by_id_.find(e.id);
   const auto job = it == by_id_.end() ? jobs_.end() : jobs_.find(it->second);
   const auto late = [this] { ++counters_.late_callbacks; };
-  if (job == jobs_.end() && job_manager_) return OnUnmatchedCallback(e);
+  if (job == jobs_.end() && job_manager_) return HandleUnmatchedCallback(e);
   if (job == jobs_.end()) return late();
   const Ticket ticket = it->second;
   auto& hops = job->second.hops;
-  // A last word may cross the calling off, and says more: what has come of the hop, or that it never ran.
-  const bool last = e.state != CallbackState::kStarted && e.state != CallbackState::kRunning;
-  const bool crosses = last && !job->second.durable;
-  const auto hop = std::find_if(hops.begin(), hops.end(), [&e, crosses](const Hop& h) {
+  // A final callback may cross the cancellation. It takes precedence, because it carries the outcome of the
+  // hop, or the fact that the hop never ran.
+  const bool is_final = e.state != CallbackState::kStarted && e.state != CallbackState::kRunning;
+  const bool may_cross_cancel = is_final && !job->second.durable;
+  const auto hop = std::find_if(hops.begin(), hops.end(), [&e, may_cross_cancel](const Hop& h) {
     return h.target == e.from &&
-           (h.state == HopState::kInFlight || (crosses && h.state == HopState::kCancelling));
+           (h.state == HopState::kInFlight || (may_cross_cancel && h.state == HopState::kCancelling));
   });
-  if (hop == hops.end()) return job->second.durable ? OnUnmatchedCallback(e) : late();
-  const int n = static_cast<int>(hop - hops.begin());
-  hop->taken = true;
-  if (last) effects_->push_back(HopCompleted{ticket, n});
-  if (job->second.durable) ReportToKeeper(job->second, n, e);
+  if (hop == hops.end()) return job->second.durable ? HandleUnmatchedCallback(e) : late();
+  const int index = static_cast<int>(hop - hops.begin());
+  hop->accepted = true;
+  if (is_final) effects_->push_back(HopCompleted{ticket, index});
+  if (job->second.durable) ReportToJobManager(job->second, index, e);
   switch (e.state) {
     case CallbackState::kStarted:
     case CallbackState::kRunning:
-      return TellModule(pebblenotch::AttemptProgress{ticket, n, e.state == CallbackState::kStarted, e.share});
+      return NotifyModule(
+          pebblenotch::AttemptProgress{ticket, index, e.state == CallbackState::kStarted, e.share});
     case CallbackState::kDone:
       FinalAnswer(ticket, AnswerKind::kServed, 0, std::move(e.result));
-      return EndHop(ticket, n, Result::kOk, e.report, true);
+      return EndHop(ticket, index, Result::kOk, e.report, true);
     case CallbackState::kFailed:
-      // Where no client waits, the time for another try is for the job manager to say.
+      // Without a waiting client the job manager decides when the job is retried.
       if (job->second.round) {
         FinalAnswer(ticket, AnswerKind::kFailed, 0, {});
-        return EndHop(ticket, n, Result::kError, e.report, true);
+        return EndHop(ticket, index, Result::kError, e.report, true);
       }
-      return EndHop(ticket, n, Result::kError, e.report, false);
+      return EndHop(ticket, index, Result::kError, e.report, false);
     case CallbackState::kReturned:
-      return EndHop(ticket, n, Result::kFull, e.report, false);
+      return EndHop(ticket, index, Result::kFull, e.report, false);
     case CallbackState::kLost:
-      return EndHop(ticket, n, Result::kReset, e.report, false);
+      return EndHop(ticket, index, Result::kReset, e.report, false);
   }
 }
 
 void Reducer::On(HopAccepted& e) {
-  if (Hop* hop = FindHop(e.request, e.hop); hop != nullptr) hop->taken = true;
+  if (Hop* hop = FindHop(e.request, e.hop); hop != nullptr) hop->accepted = true;
 }
 
 void Reducer::On(HopEnded& e) {
@@ -236,34 +244,35 @@
 void Reducer::On(HopCancelled& e) {
   const Hop* hop = FindHop(e.request, e.hop);
   if (hop == nullptr || hop->state != HopState::kCancelling) return;
-  // Where targets are dialled, one that could not be reached in the hop's time is told apart from a hop that
-  // was taken back.
-  const bool unreached = take_limit_ > 0 && hop->cancel_result == Result::kTimeout;
-  const Result never = unreached ? Result::kConnectFailed : Result::kMoot;
-  EndHop(e.request, e.hop, e.never_ran ? never : hop->cancel_result, std::nullopt, false);
+  // Where the front connects to targets (accept_timeout_ is set), a hop that timed out before it reached its
+  // target counts as a failed connection. A hop that was cancelled for another reason before it was sent says
+  // nothing about its target.
+  const bool unreached = accept_timeout_ > 0 && hop->cancel_result == Result::kTimeout;
+  const Result never_ran_result = unreached ? Result::kConnectFailed : Result::kMoot;
+  EndHop(e.request, e.hop, e.never_ran ? never_ran_result : hop->cancel_result, std::nullopt, false);
 }
 
 void Reducer::On(ProbeEnded& e) {
-  TellModule(pebblenotch::ProbeResult{e.target, e.result, e.latency, e.report});
+  NotifyModule(pebblenotch::ProbeResult{e.target, e.result, e.latency, e.report});
 }
 
 void Reducer::On(IngressDisconnected& e) {
   const auto it = jobs_.find(e.request);
   if (it == jobs_.end() || it->second.answered) return;
-  if (it->second.durable) {  // it was taken for good: it goes on, and its client may come back for it
+  if (it->second.durable) {  // an accepted durable job continues; its client may reconnect for the result
     if (!std::exchange(it->second.round, true)) {
-      ++rounds_;
+      ++rounds_in_progress_;
       ++counters_.disconnected;
     }
     return;
   }
   it->second.answered = true;
-  --held_;
+  --unanswered_;
   ++counters_.disconnected;
   if (it->second.tenant != TenantTable::kNone) ++tenants_.At(it->second.tenant).disconnected;
   RetainId(it->second.id);
-  TellModule(pebblenotch::ClientGone{e.request});
-  ForgetIfOver(e.request);
+  NotifyModule(pebblenotch::ClientGone{e.request});
+  EraseIfFinished(e.request);
 }
 
 void Reducer::On(IngressDetached& e) {
@@ -281,54 +290,55 @@
   if (job_manager_) {
     for (const auto& entry : e.entries) target_locations_[entry.id] = {entry.id, entry.zone, entry.cell};
   }
-  TellModule(pebblenotch::Membership{e.kind, e.entries});
+  NotifyModule(pebblenotch::Membership{e.kind, e.entries});
 }
 
 void Reducer::On(Wake&) {
-  while (!due_.empty() && due_.top().at <= now_) {
-    const Due due = due_.top();
-    due_.pop();
-    if (due.request == 0) {
-      if (due.hop == 0) TellModule(pebblenotch::TimerDue{due.label});
-      if (due.hop == 2) AnswerAllForShutdown();
-      if (due.hop == 3) CheckStorm();
-      if (due.hop == 4) CheckLeases();
+  while (!timers_.empty() && timers_.top().at <= now_) {
+    const Timer timer = timers_.top();
+    timers_.pop();
+    if (timer.request == 0) {
+      if (timer.hop == kModuleTimer) NotifyModule(pebblenotch::TimerDue{timer.label});
+      if (timer.hop == kAnswersDueTimer) AnswerAllForShutdown();
+      if (timer.hop == kStormCheckTimer) CheckStorm();
+      if (timer.hop == kJobManagerTimer) ProcessExpiredLeases();
       continue;
     }
-    const Hop* hop = FindHop(due.request, due.hop);
+    const Hop* hop = FindHop(timer.request, timer.hop);
     if (hop == nullptr || hop->state == HopState::kEnded) continue;
-    if (due.take) {
-      // Guards against a connection that has fallen silent: its target may be well, and the request would
-      // wait on it for as long as its client does. What was heard of by call-back has been taken all the
-      // same.
-      if (hop->state == HopState::kInFlight && !hop->taken) Cancel(due.request, due.hop, Result::kTimeout);
+    if (timer.acceptance) {
+      // Guards against a connection that has stopped responding although its target may be healthy: the
+      // request would wait on it until its deadline. A callback from the target also confirms the hop.
+      if (hop->state == HopState::kInFlight && !hop->accepted)
+        Cancel(timer.request, timer.hop, Result::kTimeout);
       continue;
     }
-    // At the request's end nothing is sent any more, so the outcome waits for the front's word only briefly:
-    // it may know that the hop never ran, but telling a far target can take longer than the client has.
-    const bool last = now_ >= jobs_.at(due.request).deadline;
+    // At the deadline of the request no further hop can be sent, so the answer waits only briefly for
+    // HopCancelled. The front may know that the hop never ran, but notifying a distant target can take longer
+    // than the client waits.
+    const bool at_deadline = now_ >= jobs_.at(timer.request).deadline;
     if (hop->state == HopState::kInFlight) {
-      Cancel(due.request, due.hop, Result::kTimeout);
-      if (last) due_.push({now_ + kCancelGrace, due.request, due.hop, 0});
-    } else if (last) {
-      EndHop(due.request, due.hop, hop->cancel_result, std::nullopt, false);
+      Cancel(timer.request, timer.hop, Result::kTimeout);
+      if (at_deadline) timers_.push({now_ + kCancelGrace, timer.request, timer.hop, 0});
+    } else if (at_deadline) {
+      EndHop(timer.request, timer.hop, hop->cancel_result, std::nullopt, false);
     }
   }
-  armed_ = 0;
+  armed_wakeup_ = 0;
 }
 
-// The watch moves on with whatever the module is told. Guards against a state that stays because nothing
-// comes.
+// Storm detection advances with every event that is passed to the module. This check lets a storm end when no
+// events arrive.
 void Reducer::CheckStorm() {
-  watching_ = false;
+  storm_check_scheduled_ = false;
   UpdateAllowance();
 }
 
 void Reducer::On(FleetView& e) {
-  if (e.schedulers != std::exchange(fleet_, e).schedulers) TellModule(pebblenotch::TierSize{e.schedulers});
+  if (e.schedulers != std::exchange(fleet_, e).schedulers) NotifyModule(pebblenotch::TierSize{e.schedulers});
 }
 
-// The probe's own result is what the module judges by; what others said is not.
+// The module is given only the result of this scheduler's own probe, not the reports of other schedulers.
 void Reducer::On(TargetSuspected& e) {
   if (!settings_.may_probe) return;
   ++counters_.probes;
@@ -336,27 +346,28 @@
 }
 
 void Reducer::On(GossipedLoad& e) {
-  TellModule(pebblenotch::ProbeResult{e.target, Result::kOk, 0, e.report, std::max<Micros>(e.age, 1)});
+  NotifyModule(pebblenotch::ProbeResult{e.target, Result::kOk, 0, e.report, std::max<Micros>(e.age, 1)});
 }
 
-// The module acts on figures when it is next told of something: they bring about no action by themselves.
+// Passes the current figures of the limits to the module. They cause no actions by themselves; the module
+// applies them with its next event.
 void Reducer::UpdateAllowance() {
-  std::vector<pebblenotch::Action> none;
+  std::vector<pebblenotch::Action> no_actions;
   if (const auto figures = limits_ ? limits_->Update(now_) : std::nullopt)
-    module_.handle(now_, *figures, none);
+    module_.handle(now_, *figures, no_actions);
 }
 
 void Reducer::On(DrainStarted&) {
-  if (drain_began_ >= 0) return;
-  drain_began_ = now_;
-  due_.push({now_ + stop_times_.earliest_exit, 0, 1, 0});
-  due_.push({now_ + stop_times_.answers_due, 0, 2, 0});
+  if (drain_started_at_ >= 0) return;
+  drain_started_at_ = now_;
+  timers_.push({now_ + stop_times_.earliest_exit, 0, kEarliestExitTimer, 0});
+  timers_.push({now_ + stop_times_.answers_due, 0, kAnswersDueTimer, 0});
   if (job_manager_) EndIdleRounds();
 }
 
-// Guards the first rule at a planned stop: the program may be killed soon after, and whoever waits for an
-// answer then would get none. A durable job that came before the late arrivals outlives the process: its
-// client is answered as all others are, and it goes on without one.
+// Every request gets an answer: the process may be killed soon after this point of a graceful shutdown, and
+// clients that still wait then would get none. A durable job that arrived before the window for late arrivals
+// ended outlives the process: its client is answered as well, and the job continues without a client.
 void Reducer::AnswerAllForShutdown() {
   std::vector<Ticket> tickets;
   for (const auto& [ticket, job] : jobs_) {
@@ -365,13 +376,13 @@
   std::sort(tickets.begin(), tickets.end());
   for (const Ticket ticket : tickets) {
     const Job& job = jobs_.at(ticket);
-    if (job.durable && job.arrived_at < drain_began_ + StopTimes::kLateArrivalWindow - kAnswerMargin) {
+    if (job.durable && job.arrived_at < drain_started_at_ + StopTimes::kLateArrivalWindow - kAnswerMargin) {
       AnswerAndContinueJob(ticket);
       continue;
     }
-    TellModule(pebblenotch::AnswerNow{ticket});
-    FinalAnswer(ticket, AnswerKind::kFailed, 0, {});  // changes nothing where the module has answered
-    ForgetIfOver(ticket);
+    NotifyModule(pebblenotch::AnswerNow{ticket});
+    FinalAnswer(ticket, AnswerKind::kFailed, 0, {});  // no effect if the module has answered
+    EraseIfFinished(ticket);
   }
   if (job_manager_) EndIdleRounds();
 }
@@ -382,13 +393,13 @@
   return &it->second.hops[static_cast<std::size_t>(hop)];
 }
 
-// Guards against two hops of a request out together: the module hears that a hop is over, and so may send
-// the next, only once the target has been told or the carrier has given up telling it.
-void Reducer::Cancel(Ticket ticket, int hop, Result as) {
+// Prevents two hops of a request from being in flight together: the module is notified of the end of a hop,
+// and may start the next, only after the target was notified or the front has given up notifying it.
+void Reducer::Cancel(Ticket ticket, int hop, Result reason) {
   Hop* h = FindHop(ticket, hop);
   if (h == nullptr || h->state != HopState::kInFlight) return;
   h->state = HopState::kCancelling;
-  h->cancel_result = as;
+  h->cancel_result = reason;
   ++counters_.cancelled;
   const Job& job = jobs_.at(ticket);
   effects_->push_back(CancelHop{ticket, hop, h->target, job.id, job.durable, job.store_id});
@@ -400,7 +411,7 @@
   h.may_have_run = !pebblenotch::NeverRan(result);
   --hops_in_flight_;
   if (limits_)
-    limits_->HopEnded(now_, jobs_.at(ticket).job_class, result, now_ - h.sent, held_ > hops_in_flight_);
+    limits_->HopEnded(now_, jobs_.at(ticket).job_class, result, now_ - h.sent, unanswered_ > hops_in_flight_);
   ++counters_.hop_results[static_cast<int>(result)];
   if (const Job& job = jobs_.at(ticket); job.durable) {
     job_manager_->HopEnded(now_, job.id, h.epoch,
@@ -416,57 +427,57 @@
   outcome.latency = now_ - h.sent;
   outcome.finished = finished || jobs_.at(ticket).answered;
   outcome.report = report;
-  TellModule(outcome);
-  ForgetIfOver(ticket);
+  NotifyModule(outcome);
+  EraseIfFinished(ticket);
 }
 
-// Guards the first rule: whatever asks for an answer, a request gets one.
+// Answers a request exactly once, whichever event asks for an answer; later calls have no effect.
 void Reducer::FinalAnswer(Ticket ticket, AnswerKind kind, Micros retry_after, std::string result) {
   const auto it = jobs_.find(ticket);
   if (it == jobs_.end() || std::exchange(it->second.answered, true)) return;
-  --held_;
+  --unanswered_;
   ++(kind == AnswerKind::kServed     ? counters_.served
      : kind == AnswerKind::kShed     ? counters_.shed
      : kind == AnswerKind::kRejected ? counters_.rejected
                                      : counters_.failed);
-  ClassCounts& of_class = CountsOf(it->second.job_class);
-  ++(kind == AnswerKind::kServed ? of_class.answered
-     : kind == AnswerKind::kShed ? of_class.deferred
-                                 : of_class.errored);
-  if (const auto place = it->second.tenant; place != TenantTable::kNone) {
-    TenantTable::Row& row = tenants_.At(place);
+  ClassCounts& class_counts = ClassCountsOf(it->second.job_class);
+  ++(kind == AnswerKind::kServed ? class_counts.answered
+     : kind == AnswerKind::kShed ? class_counts.deferred
+                                 : class_counts.errored);
+  if (const auto tenant = it->second.tenant; tenant != TenantTable::kNone) {
+    TenantTable::Row& row = tenants_.At(tenant);
     ++(kind == AnswerKind::kServed ? row.served : kind == AnswerKind::kShed ? row.shed : row.failed);
   }
   RetainId(it->second.id);
   const bool durable = it->second.durable;
-  const Micros by = it->second.deadline;
+  const Micros deadline = it->second.deadline;
   const int store_id = it->second.store_id;
   if (durable) FinishRound(it->second, kind, retry_after);
-  effects_->push_back(Answer{ticket, kind, retry_after, std::move(result), durable, by, store_id});
-  ForgetIfOver(ticket);
+  effects_->push_back(Answer{ticket, kind, retry_after, std::move(result), durable, deadline, store_id});
+  EraseIfFinished(ticket);
 }
 
-// Guards against a class index from the wire that no settings know: it is counted, however large it is.
-ClassCounts& Reducer::CountsOf(int job_class) {
-  const auto at = static_cast<std::size_t>(std::clamp(job_class, 0, 255));
-  if (counters_.by_class.size() <= at) counters_.by_class.resize(at + 1);
-  return counters_.by_class[at];
+// A class index from the wire may be outside the settings, and of any size; it is clamped to bound the table.
+ClassCounts& Reducer::ClassCountsOf(int job_class) {
+  const auto index = static_cast<std::size_t>(std::clamp(job_class, 0, 255));
+  if (counters_.by_class.size() <= index) counters_.by_class.resize(index + 1);
+  return counters_.by_class[index];
 }
 
-// Guards against a second request by the name of one that is over: its hop may still be out somewhere, and
-// would be a second copy there.
+// Guards against a new request with the id of one that has ended: a hop of the ended request may still be in
+// flight, and its target would then have two copies.
 void Reducer::RetainId(const std::string& id) {
   by_id_.erase(id);
-  while (!released_.empty() &&
-         (released_.front().first < now_ - kIdRetention || released_.size() >= kMaxRetainedIds)) {
-    recent_.erase(released_.front().second);
-    released_.pop_front();
+  while (!ended_ids_.empty() &&
+         (ended_ids_.front().first < now_ - kIdRetention || ended_ids_.size() >= kMaxRetainedIds)) {
+    recent_id_hashes_.erase(ended_ids_.front().second);
+    ended_ids_.pop_front();
   }
   const std::size_t hash = std::hash<std::string>{}(id);
-  if (recent_.insert(hash).second) released_.emplace_back(now_, hash);
+  if (recent_id_hashes_.insert(hash).second) ended_ids_.emplace_back(now_, hash);
 }
 
-void Reducer::ForgetIfOver(Ticket ticket) {
+void Reducer::EraseIfFinished(Ticket ticket) {
   const auto it = jobs_.find(ticket);
   if (it == jobs_.end() || !it->second.answered) return;
   for (const Hop& h : it->second.hops) {
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,10 +1,11 @@
 // The scheduling core: a reducer `(State, Event, now) -> effects` without wire protocol, I/O or clock.
 //
 // A front translates its wire protocol into events and executes the returned effects in order. The reducer
-// owns the decision module (`pebblenotch::Dispatcher`) and the hops of each request;
-// state changes nowhere else.
-// Terms: an egress target is a worker of the module, a hop is one of its attempts, a ticket is the front's
-// handle of a request (never reused), an id is the name of the request on the wire. Times are microseconds.
+// owns the decision module (`pebblenotch::Dispatcher`) and the hops of each request, and only Reduce changes
+// that state.
+// Terms: an egress target is a worker in the module, and a hop is an attempt there. A ticket is the front's
+// handle of a request and is never reused; an id is the name of the request on the wire. All times are in
+// microseconds.
 #ifndef HERONWAY_CORE_REDUCER_H_
 #define HERONWAY_CORE_REDUCER_H_
 
@@ -39,42 +40,46 @@
 using TargetId = pebblenotch::WorkerId;
 
 // Events.
+
 struct RequestArrived {
   pebblenotch::Request request;  // `id` is the ticket, `deadline` the time at which the client gives up
-  std::string id;                // its name on the wire, unique among pending requests
+  std::string id;                // name on the wire, unique among pending requests
   Micros hop_timeout = 0;        // for each hop; 0: until the client's deadline
-  int max_hops = 0;              // the client's own limit; 0: only the configured limit applies
+  int max_hops = 0;              // limit set by the client; 0: only the configured limit applies
   std::string client;            // identity by which retries are recognized; empty: none
   bool client_names_job = true;  // `client` identifies the job, so seeing it again is a retry
-  std::string tenant;            // for the counts per tenant; empty: not counted
-  std::optional<durable::JobSpec> task;  // durable job: accepted with this, and its first round starts
-  bool round = false;                    // another round of a durable job; no client waits
-  bool no_capacity = false;              // the front cannot hold it: shed at once, with a retry delay
+  std::string tenant;            // for the counters of each tenant; empty: not counted
+  std::optional<durable::JobSpec> task;  // durable job to accept; this is its first round
+  bool round = false;                    // a round that StartRound asked for; no client waits
+  bool no_capacity = false;              // the front cannot hold it: shed immediately, with a retry delay
 };
 enum class CallbackState : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
-struct HopCallback {  // a target's report on a request, by wire names
+// A report from a target on a request that it received.
+struct HopCallback {
   std::string id;
   TargetId from = 0;
   CallbackState state = CallbackState::kStarted;
-  double share = 0;
-  std::string result;
+  double share = 0;    // with kRunning: the part of the job that is done
+  std::string result;  // with kDone: the result; with kFailed: the reason, kept with a durable job
   std::optional<Report> report;
 };
 struct HopAccepted {  // the target has confirmed that it received the hop
   Ticket request = 0;
   int hop = 0;
 };
-struct HopEnded {  // ended by the transport: declined, connection broken, or error answer
+// The transport reports the end of a hop: the target shed it, its connection broke, or it answered an error.
+struct HopEnded {
   Ticket request = 0;
   int hop = 0;
   Result result = Result::kError;
   std::optional<Report> report;
-  bool rejected = false;  // the target found the request malformed: it never ran and never will
+  bool rejected = false;  // the target found the request malformed; it has not run and is not retried
 };
-struct HopCancelled {  // the target has been notified, or cannot be
+// The front has finished a CancelHop: the target was notified, or could not be.
+struct HopCancelled {
   Ticket request = 0;
   int hop = 0;
-  bool never_ran = false;  // it was withdrawn before the target received it
+  bool never_ran = false;  // cancelled before the target received it
 };
 struct ProbeEnded {
   TargetId target = 0;
@@ -86,8 +91,8 @@
 struct IngressDisconnected {
   Ticket request = 0;
 };
-// The client's connection has ended (`away`), it may reconnect for the answer, or it has reconnected.
-// While it is away, hops in flight continue and no further hop is sent.
+// The client's connection has ended and the client may reconnect for the answer (`away`), or it has
+// reconnected (not `away`). While the client is away, hops in flight continue and no further hop is sent.
 struct IngressDetached {
   Ticket request = 0;
   bool away = true;
@@ -97,14 +102,15 @@
   ListKind kind = ListKind::kChanges;
   std::vector<pebblenotch::WorkerEntry> entries;
 };
-struct Wake {};
-struct DrainStarted {};
-// The following concern durable jobs. A job keeps its id throughout; a ticket stands for one of its rounds.
+struct Wake {};          // the time of the last WakeAt has come
+struct DrainStarted {};  // the process shuts down gracefully
+// The following concern durable jobs. A job keeps its id from start to end; each of its rounds has its own
+// ticket.
 struct JobSubmitted {  // accepted without a client that waits for the outcome
   std::string id;
   durable::JobSpec task;
 };
-struct RoundInvalid {  // the front cannot build a request from the job any more
+struct RoundInvalid {  // the front can no longer build a request from the job
   std::string id;
 };
 struct TargetHeartbeat {  // a heartbeat that refers to no particular hop
@@ -114,7 +120,7 @@
   durable::OperatorCommand order;
 };
 struct StoreLoaded {};  // recovery from the store is complete; the first event
-struct Cordon {         // an operator's drain (`on`) or its end; affects readiness only
+struct Cordon {         // an operator drains this process (`on`) or reactivates it; affects readiness only
   bool on = true;
 };
 // This scheduler's view of the cluster: the quorum state and the number of schedulers to share targets with.
@@ -122,7 +128,7 @@
   cluster::QuorumState quorum = cluster::QuorumState::kAllPresent;
   int schedulers = 1;
 };
-struct TargetSuspected {  // other schedulers report failures of it; it gets one probe
+struct TargetSuspected {  // other schedulers report that it fails; it is probed once
   TargetId target = 0;
 };
 struct GossipedLoad {  // load that a target reported to another scheduler `age` ago
@@ -130,17 +136,20 @@
   Report report;
   Micros age = 0;
 };
-// Durable jobs of another scheduler, or of an earlier process of this one (see durable::JobManager for store ids).
-struct JobsAdopted {  // a batch of them; `first`: the first batch of this store
+// A batch of durable jobs from the store of another scheduler, or of an earlier process of this one. Store
+// ids are those of durable::JobManager.
+struct JobsAdopted {
   int store_id = 0;
-  bool first = false;
-  durable::Micros clock_stepped_at = 0;  // runs up to then were timed by another host's clock
+  bool first = false;                    // the first batch from this store
+  durable::Micros clock_stepped_at = 0;  // runs up to this time were timed by the clock of another host
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
-struct HomeClosing {  // its jobs will be handed back: none starts another round
+// The jobs of this store are about to be handed back to their own scheduler; none starts another round.
+struct HomeClosing {
   int store_id = 0;
 };
-struct HomeLost {  // its jobs belong to another scheduler: none is answered from here any more
+// The jobs of this store now belong to another scheduler, and none is answered from here any more.
+struct HomeLost {
   int store_id = 0;
 };
 using Event =
@@ -150,17 +159,18 @@
                  TargetSuspected, GossipedLoad, JobsAdopted, HomeClosing, HomeLost>;
 
 // Effects.
+
 struct SendHop {
   Ticket request;
   int hop;
   TargetId target;
-  // The hop's deadline. Absolute, because the hop may wait for the store; its target is sent the time that is
-  // left when it leaves.
+  // The deadline of the hop. It is absolute because the hop may wait for the store; the target is sent the
+  // time that remains when the hop is sent.
   Micros until;
-  bool durable = false;  // here and below: wait until all records so far are stored
-  int store_id = 0;      // the store that is waited for
+  bool durable = false;  // in all effects: carry it out only after all earlier records are stored
+  int store_id = 0;      // with `durable`: the store to wait for
 };
-struct CancelHop {  // the front answers with one HopCancelled
+struct CancelHop {  // the front responds with one HopCancelled
   Ticket request;
   int hop;
   TargetId target;
@@ -168,7 +178,8 @@
   bool durable = false;
   int store_id = 0;
 };
-struct HopCompleted {  // by its target's callback: the transport need not wait for a response
+// The target reported the end of the hop by callback; the transport need not wait for a response.
+struct HopCompleted {
   Ticket request;
   int hop;
 };
@@ -179,36 +190,38 @@
   Micros retry_after;  // 0: no advice
   std::string result;  // if served; passed through unchanged
   bool durable = false;
-  Micros by = 0;  // durable: the time by which the client must have it
+  Micros by = 0;  // with `durable`: the time by which the client must have the answer
   int store_id = 0;
 };
 struct StartProbe {
   TargetId target;
 };
 struct SubscribeRoutes {};
-struct WakeAt {  // replaces the previous one
+struct WakeAt {  // send Wake at this time; replaces the previous WakeAt
   Micros at;
 };
 struct Drained {};     // the graceful shutdown is complete
-struct StormChanged {  // to be reported to the operators
+struct StormChanged {  // to be reported to operators
   limits::StormChange change;
 };
 struct Persist {  // to be stored in this order
   std::vector<durable::Record> records;
   int store_id = 0;
 };
-struct StartRound {  // a round of this job is due: the front makes an RequestArrived of it, or a RoundInvalid
+// A round of this job is due. The front responds with a RequestArrived, or with RoundInvalid.
+struct StartRound {
   std::string id;
   int store_id = 0;
 };
-struct Settled {  // the job has its answer or was discarded; waiting clients are notified
+// The job has its final result or was discarded; the front notifies clients that wait for it.
+struct Settled {
   std::string id;
   int store_id = 0;
 };
 using Effect = std::variant<SendHop, CancelHop, HopCompleted, Answer, StartProbe, SubscribeRoutes, WakeAt,
                             Drained, StormChanged, Persist, StartRound, Settled>;
 
-struct ClassCounts {  // per class, under the names of the metrics
+struct ClassCounts {  // counters of a class, named as in the metrics
   std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
 };
 struct Counters {
@@ -222,52 +235,53 @@
 
 class Reducer {
  public:
-  // `take_limit`: a hop that its target has not confirmed in any way is cancelled after this long; 0: never.
-  // `limits`: if enabled, their figures guide the module, and shed clients get times of their calendar.
-  // `job_manager`: manages durable jobs, restored from the store; null if durable jobs are off.
-  Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit = 0,
+  // `accept_timeout`: a hop is cancelled if its target has not confirmed it within this time; 0: never.
+  // `limits`: if enabled, the limits set the module's allowances and the retry delays of shed clients.
+  // `job_manager`: holds the durable jobs restored from the store; null if durable jobs are off.
+  Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros accept_timeout = 0,
           const limits::Settings& limits = {}, std::unique_ptr<durable::JobManager> job_manager = nullptr);
 
   // Processes one event and appends the resulting effects.
   void Reduce(Micros now, Event event, std::vector<Effect>& effects);
 
   // The number of requests without a final answer whose client waits for one.
-  std::size_t pending() const { return held_ - rounds_; }
-  // The id belongs to a pending request or to one that ended recently.
+  std::size_t pending() const { return unanswered_ - rounds_in_progress_; }
+  // Whether the id belongs to an unanswered request or to one that ended recently.
   bool IsKnown(const std::string& id) const {
-    return by_id_.contains(id) || recent_.contains(std::hash<std::string>{}(id));
+    return by_id_.contains(id) || recent_id_hashes_.contains(std::hash<std::string>{}(id));
   }
+  // Whether the id belongs to an unanswered request.
   bool IsPending(const std::string& id) const { return by_id_.contains(id); }
-  bool draining() const { return drain_began_ >= 0; }
+  bool draining() const { return drain_started_at_ >= 0; }
   // The deadlines of a graceful shutdown, relative to its start.
   const StopTimes& stop_times() const { return stop_times_; }
-  // The graceful shutdown is so far along that every arrival is shed at once.
+  // Whether the graceful shutdown has come so far that every new request is shed immediately.
   bool ShedsAllArrivals(Micros now) const {
-    return drain_began_ >= 0 && now >= drain_began_ + stop_times_.answers_due - kAnswerMargin;
+    return drain_started_at_ >= 0 && now >= drain_started_at_ + stop_times_.answers_due - kAnswerMargin;
   }
   bool cordoned() const { return cordoned_; }  // drained by an operator: not ready for new clients
   const Counters& counters() const { return counters_; }
-  // Violation counts, including those of the decision module.
+  // The violation counts, including those found by the decision module.
   Invariants invariants() const;
-  // Pending requests do not depend on it: they are served and answered in every quorum state.
+  // The latest view of the cluster. Requests are served and answered in every quorum state.
   const FleetView& fleet() const { return fleet_; }
   const pebblenotch::Dispatcher& module() const { return module_; }  // for inspection
   const TenantTable& tenants() const { return tenants_; }
-  const durable::JobManager* job_manager() const {
-    return job_manager_.get();
-  }                                                               // null if durable jobs are off
-  const limits::Limits* limits() const { return limits_.get(); }  // null if disabled
+  // Null if durable jobs are off.
+  const durable::JobManager* job_manager() const { return job_manager_.get(); }
+  // Null if limits are disabled.
+  const limits::Limits* limits() const { return limits_.get(); }
 
-  // Subtracted from the client's deadline, for the network and for a busy CPU.
+  // Subtracted from the client's deadline to allow for network latency and a busy CPU.
   static constexpr Micros kAnswerMargin = 30'000;
-  // At the deadline, the time that the front has to report the outcome of a cancelled hop.
+  // Time after the deadline in which the front can still report the outcome of a cancelled hop.
   static constexpr Micros kCancelGrace = 3'000;
-  // Ids of ended requests are retained this long, and at most this many.
+  // Ids of ended requests are retained for this time, and at most this many of them.
   static constexpr Micros kIdRetention = 60'000'000;
   static constexpr std::size_t kMaxRetainedIds = 8192;
-  // During a storm its watch is evaluated at least this often, even without traffic.
+  // Storm detection is evaluated at least this often during a storm, even without traffic.
   static constexpr Micros kStormCheckInterval = 500'000;
-  // Retry delay of a request that cannot be held, unless the limits give another.
+  // Retry delay of a request that the front cannot hold, unless the limits set another.
   static constexpr Micros kNoCapacityRetryAfter = 1'000'000;
 
  private:
@@ -277,8 +291,8 @@
     Micros sent = 0;
     HopState state = HopState::kInFlight;
     bool may_have_run = false;  // valid once it has ended
-    bool taken = false;         // confirmed by the target, by response or callback
-    std::uint32_t epoch = 0;    // durable: lease epoch
+    bool accepted = false;      // confirmed by the target, in a response or callback
+    std::uint32_t epoch = 0;    // lease epoch, if the request is durable
     Result cancel_result = Result::kCancelled;
   };
   struct Job {
@@ -288,21 +302,28 @@
     int job_class = 0;
     TenantTable::RowIndex tenant = TenantTable::kNone;
     limits::ClientHash client = 0;
-    limits::Limits::Arrival came;
+    limits::Limits::Arrival arrival;
     bool answered = false;
-    bool away = false;                    // the client is detached
+    bool away = false;                    // the client's connection has ended; it may reconnect
     bool durable = false, round = false;  // `round`: no client waits
-    int store_id = 0;                     // durable
+    int store_id = 0;                     // if `durable`
     std::vector<Hop> hops;
   };
-  struct Due {
+  // The kind of a timer that belongs to no hop.
+  enum TimerKind : int {
+    kModuleTimer,
+    kEarliestExitTimer,  // of a graceful shutdown; Reduce checks whether the shutdown is complete
+    kAnswersDueTimer,    // of a graceful shutdown
+    kStormCheckTimer,
+    kJobManagerTimer,
+  };
+  struct Timer {
     Micros at;
-    Ticket request;  // 0: a timer. `hop` then selects it: 0 module, 1 and 2 drain, 3 storm watch, 4 job
-                     // manager
-    int hop;
-    std::uint32_t label;  // label of the module's timer
-    bool take = false;    // checks that the hop was confirmed
-    bool operator>(const Due& o) const { return at > o.at; }
+    Ticket request;           // 0: not a deadline of a hop
+    int hop;                  // if `request` is 0: a TimerKind
+    std::uint32_t label;      // with kModuleTimer: the label of the timer in the module
+    bool acceptance = false;  // cancels the hop if its target has not confirmed it
+    bool operator>(const Timer& o) const { return at > o.at; }
   };
 
   void On(RequestArrived& e);
@@ -329,22 +350,22 @@
   void On(FleetView& e);
   void On(TargetSuspected& e);
   void On(GossipedLoad& e);
-  ClassCounts& CountsOf(int job_class);
-  bool MayStartHop(const Job& job, Micros limit);
+  ClassCounts& ClassCountsOf(int job_class);
+  bool MayStartHop(const Job& job, Micros time_limit);
 
-  void ReportToKeeper(const Job& job, int hop, const HopCallback& e);
-  void OnUnmatchedCallback(const HopCallback& e);
-  void CheckLeases();
+  void ReportToJobManager(const Job& job, int hop, const HopCallback& e);
+  void HandleUnmatchedCallback(const HopCallback& e);
+  void ProcessExpiredLeases();
   void StartDueRounds();
   void EndIdleRounds();
   void EmitRecords();
-  void TellModule(const pebblenotch::Event& event);
+  void NotifyModule(const pebblenotch::Event& event);
   void Execute(const pebblenotch::Action& action);
   void EndHop(Ticket ticket, int hop, Result result, std::optional<Report> report, bool finished);
-  void Cancel(Ticket ticket, int hop, Result as);
+  void Cancel(Ticket ticket, int hop, Result reason);
   void FinalAnswer(Ticket ticket, AnswerKind kind, Micros retry_after, std::string result);
-  void FinishRound(const Job& job, AnswerKind kind, Micros wait);
-  void ForgetIfOver(Ticket ticket);
+  void FinishRound(const Job& job, AnswerKind kind, Micros retry_delay);
+  void EraseIfFinished(Ticket ticket);
   void RetainId(const std::string& id);
   void AnswerAllForShutdown();
   void AnswerAndContinueJob(Ticket ticket);
@@ -357,24 +378,24 @@
   pebblenotch::Dispatcher module_;
   std::unique_ptr<limits::Limits> limits_;
   std::unique_ptr<durable::JobManager> job_manager_;
-  durable::Records records_;                                             // not passed to Persist yet
-  std::unordered_map<TargetId, durable::LeaseHolder> target_locations_;  // durable: zone and cell of targets
-  Micros job_manager_wakeup_ = 0;
-  Micros now_ = 0, take_limit_;
+  durable::Records records_;  // to be emitted with the next Persist
+  std::unordered_map<TargetId, durable::LeaseHolder> target_locations_;  // only with a job manager
+  Micros job_manager_wakeup_ = 0;  // earliest kJobManagerTimer in timers_; 0: none
+  Micros now_ = 0, accept_timeout_;
   std::vector<Effect>* effects_ = nullptr;
-  std::deque<pebblenotch::Action> actions_;
+  std::deque<pebblenotch::Action> actions_;  // of the module, not executed yet
   bool executing_ = false;
 
   std::unordered_map<Ticket, Job> jobs_;
   std::unordered_map<std::string, Ticket> by_id_;
-  std::deque<std::pair<Micros, std::size_t>> released_;  // time and hash of ended ids, oldest first
-  std::unordered_set<std::size_t> recent_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  Micros armed_ = 0;
-  bool watching_ = false;  // a wake-up for the storm watch is scheduled
-  std::size_t held_ = 0, hops_in_flight_ = 0;
-  std::size_t rounds_ = 0;  // of those in held_, requests for which no client waits
-  Micros drain_began_ = -1;
+  std::deque<std::pair<Micros, std::size_t>> ended_ids_;  // end time and hash, oldest first
+  std::unordered_set<std::size_t> recent_id_hashes_;      // hashes of the ids in ended_ids_
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
+  Micros armed_wakeup_ = 0;             // time of the last WakeAt; 0: none since the last Wake
+  bool storm_check_scheduled_ = false;  // a kStormCheckTimer is in timers_
+  std::size_t unanswered_ = 0, hops_in_flight_ = 0;
+  std::size_t rounds_in_progress_ = 0;  // unanswered requests for which no client waits
+  Micros drain_started_at_ = -1;        // -1: not draining
   bool drained_ = false, cordoned_ = false;
   Counters counters_;
   FleetView fleet_;
