--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -19,9 +19,9 @@
 
 namespace heronway::net {
 
-// One per front. Effects that rest on records of a durable job pass the commit barrier of
-// that job's store. Store 0 holds this scheduler's own jobs; each copy group that was adopted from another
-// scheduler has a store with a number of its own.
+// One per front. Effects that rest on records of a durable job pass the commit barrier of that job's store.
+// Store 0 holds this scheduler's own jobs; each copy group that was adopted from another scheduler has a
+// store with a number of its own.
 class Driver {
  public:
   // Carries out every effect except WakeAt and Persist. May post further events.
@@ -190,7 +190,7 @@
   std::unique_ptr<CommitBarrier> MakeBarrier(std::unique_ptr<durable::Store> store, bool replicated) {
     return std::make_unique<CommitBarrier>(
         loop_, std::move(store), durable::Writer::Settings{}, execute_,
-        [this](durable::OperatorCommand order) { Post(core::OperatorOrder{std::move(order)}); },
+        [this](durable::OperatorCommand command) { Post(core::OperatorOrder{std::move(command)}); },
         [this](const std::string& fault) {
           if (fault.empty())
             return log::Event(log::Level::kInfo, "store",
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -24,8 +24,8 @@
       pacer_(pace),
       reserve_descriptor_(std::move(reserve_descriptor)),
       on_accept_(std::move(on_accept)),
-      io_(loop.poller(), [this](int) { AcceptPending(); }),
-      resume_timer_(loop, [this] { io_.Start(fd_, EV_READ); }) {
+      watch_(loop.poller(), [this](int) { AcceptPending(); }),
+      resume_timer_(loop, [this] { watch_.Start(fd_, EV_READ); }) {
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   // SO_REUSEPORT lets a replacement process bind the same address while this one still serves. The kernel
   // distributes new connections over both until this one ends (docs/operations.md).
@@ -40,11 +40,11 @@
     if (fd_ >= 0) close(fd_);
     throw std::runtime_error("cannot listen at " + ToText(at) + ": " + why);
   }
-  io_.Start(fd_, EV_READ);
+  watch_.Start(fd_, EV_READ);
 }
 
 Listener::~Listener() {
-  io_.StopBeforeClose();
+  watch_.StopBeforeClose();
   close(fd_);
 }
 
@@ -81,7 +81,7 @@
 
 // Avoids a busy loop: the listener stays readable while a pending connection cannot be accepted.
 void Listener::Pause() {
-  io_.Stop();
+  watch_.Stop();
   resume_timer_.Start(kPauseTime);
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -35,7 +35,7 @@
   std::function<bool(bool)> reserve_descriptor_;
   std::function<void(int, const Address&)> on_accept_;
   int fd_ = -1;
-  DescriptorWatch io_;
+  DescriptorWatch watch_;
   Timer resume_timer_;
 };
 
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -43,11 +43,11 @@
 };
 
 struct StreamWithPeer {
-  explicit StreamWithPeer(StreamContext& shared) {
+  explicit StreamWithPeer(StreamContext& context) {
     std::array<int, 2> fds{};
     EXPECT_EQ(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds.data()), 0);
     peer = fds[1];
-    stream = std::make_unique<Stream>(shared, fds[0], "test", owner);
+    stream = std::make_unique<Stream>(context, fds[0], "test", owner);
   }
   ~StreamWithPeer() { close(peer); }
   std::string Read() const {
@@ -67,8 +67,8 @@
   constexpr std::size_t kBuffers = 4;
   BufferPool pool(kBuffers);
   Loop loop;
-  StreamContext shared{loop, pool, false};
-  StreamWithPeer slow_reader(shared), reader(shared);
+  StreamContext context{loop, pool, false};
+  StreamWithPeer slow_reader(context), reader(context);
   while (pool.in_use() < kBuffers) slow_reader.stream->Write(std::string(Buffer::kSize / 2, 's'));
   ASSERT_TRUE(slow_reader.stream->open());
   reader.stream->Write("answer");
@@ -83,9 +83,9 @@
 TEST(Stream, FailedRegistrationOfADescriptorIsRetried) {
   BufferPool pool(16);
   Loop loop;
-  StreamContext shared{loop, pool, false};
+  StreamContext context{loop, pool, false};
   registrations_to_fail = 2;
-  StreamWithPeer pair(shared);
+  StreamWithPeer pair(context);
   int accepted = 0;
   Listener listener(
       loop, *ParseAddress("127.0.0.1:0"), {}, [](bool) { return true; },
@@ -118,8 +118,8 @@
 TEST(Stream, QueuedBytesAreSentAfterAFailedRegistrationForWriting) {
   BufferPool pool(1024);
   Loop loop;
-  StreamContext shared{loop, pool, false};
-  StreamWithPeer pair(shared);
+  StreamContext context{loop, pool, false};
+  StreamWithPeer pair(context);
   loop.RunOnce();
   const std::string answer(400'000, 'a');
   registrations_to_fail = 1;
@@ -162,8 +162,8 @@
 TEST(Stream, QueuedBytesArriveInOrder) {
   BufferPool pool(1024);
   Loop loop;
-  StreamContext shared{loop, pool, false};
-  StreamWithPeer pair(shared);
+  StreamContext context{loop, pool, false};
+  StreamWithPeer pair(context);
   std::string expected, received;
   for (int n = 0; n < 400; ++n) {
     const std::string part = std::to_string(n) + std::string(2'000, ' ');
