--- a/bench/slow_start/world.cpp
+++ b/bench/slow_start/world.cpp
@@ -16,23 +16,23 @@
 
 using pebblenotch::Result;
 
-constexpr Micros kStart = 1'000'000'000'000;  // the clock does not begin at 0
-constexpr Micros kLink = 500;                 // one way
-constexpr Micros kAway = 1'000'000;           // a server that returns was gone for so long
-constexpr Micros kNotice = 300'000;           // until the lists tell of it
+constexpr Micros kStart = 1'000'000'000'000;  // not 0, because 0 means "no restart"
+constexpr Micros kNetworkDelay = 500;         // one way
+constexpr Micros kDowntime = 1'000'000;       // of a server that restarts
+constexpr Micros kListDelay = 300'000;        // until the server lists show a change
 constexpr Micros kDeadline = 6'000'000;
-constexpr double kSmallBudget = 30;
+constexpr double kSmallBudget = 30;  // calls in a window; smaller budgets get a larger tolerance
 
 struct Server {
   bool up = true, overloaded = false;
-  Micros since = 0;
+  Micros started_at = 0;  // of the last restart; 0: none
   int busy = 0;
   std::deque<std::uint64_t> queue;
-  std::deque<Micros> calls;  // of the last window
+  std::deque<Micros> calls;  // times of those in the last window
 };
 
 struct Call {
-  int process = 0, life = 0, server = 0, attempt = 0;
+  int process = 0, boot = 0, server = 0, attempt = 0;
   pebblenotch::RequestId request = 0;
 };
 
@@ -42,167 +42,171 @@
 
 struct Process {
   std::unique_ptr<pebblenotch::Dispatcher> module;
-  int life = 0;
-  std::vector<std::pair<Micros, Micros>> heard;  // of each server: a start, and when it was heard of
+  int boot = 0;  // number of the last start
+  // For each server: its last start, and when this process was first notified of that start.
+  std::vector<std::pair<Micros, Micros>> reported;
 };
 
-enum class Kind : std::uint8_t {
-  kArrive,
-  kTimer,
-  kReach,
-  kFinish,
-  kEnd,
-  kDie,
-  kReturn,
-  kTell,
-  kRestart,
-  kProbed
+enum class EventKind : std::uint8_t {
+  kRequestArrives,
+  kModuleTimer,
+  kCallArrives,
+  kRunEnds,
+  kCallEnds,
+  kServerStops,
+  kServerStarts,
+  kServerListed,
+  kProcessStarts,
+  kProbeEnds
 };
 
-struct Happening {
+struct SimEvent {
   Micros at;
   std::uint64_t order;
-  Kind kind;
-  std::uint64_t a, b;
-  bool operator>(const Happening& o) const { return at != o.at ? at > o.at : order > o.order; }
+  EventKind kind;
+  std::uint64_t a, b;  // arguments, depending on the kind
+  bool operator>(const SimEvent& o) const { return at != o.at ? at > o.at : order > o.order; }
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(const Plan& plan) : plan_(plan), random_(plan.seed) {
+  explicit Simulation(const Plan& plan) : plan_(plan), random_(plan.seed) {
     pebblenotch::ClassSettings c;
     c.aim = 1'200'000;
     c.aim_stretch = 1.75;
     c.deadline = kDeadline;
     c.idempotency = pebblenotch::Idempotency::kIdempotent;
-    site_.classes = {c};
-    site_.nodes = plan.told_processes > 0 ? plan.told_processes : plan.processes;
-    site_.max_attempts = 3;
-    site_.may_cancel = true;
-    site_.reports_in_answers = site_.worker_reports_start = true;
-    site_.may_probe = plan.probes;
-    site_.slow_start_floor = plan.cold_from;
-    site_.slow_start_time = plan.warm_up;
-    site_.overload_factor = plan.overload_factor;
-    site_.overload_window = plan.window;
+    settings_.classes = {c};
+    settings_.nodes = plan.configured_processes > 0 ? plan.configured_processes : plan.processes;
+    settings_.max_attempts = 3;
+    settings_.may_cancel = true;
+    settings_.reports_in_answers = settings_.worker_reports_start = true;
+    settings_.may_probe = plan.probes;
+    settings_.slow_start_floor = plan.slow_start_floor;
+    settings_.slow_start_time = plan.slow_start_time;
+    settings_.overload_factor = plan.overload_factor;
+    settings_.overload_window = plan.overload_window;
     servers_.resize(static_cast<std::size_t>(plan.servers));
     processes_.resize(static_cast<std::size_t>(plan.processes));
-    const Micros first = plan.starts_together ? plan.returns_at + kNotice : 0;
+    const Micros first_start = plan.processes_start_together ? plan.restart_at + kListDelay : 0;
     for (std::size_t i = 0; i < processes_.size(); ++i) {
-      At(first, Kind::kRestart, i);
-      if (plan.restart_every > 0) {
-        for (Micros at = static_cast<Micros>(Unit() * plan.restart_every); at < plan.length;
-             at += plan.restart_every)
-          At(at, Kind::kRestart, i);
+      Schedule(first_start, EventKind::kProcessStarts, i);
+      if (plan.process_restart_interval > 0) {
+        for (Micros at = static_cast<Micros>(UniformRandom() * plan.process_restart_interval);
+             at < plan.duration; at += plan.process_restart_interval)
+          Schedule(at, EventKind::kProcessStarts, i);
       }
     }
-    rate_ = plan.load * plan.servers * plan.slots * 1e6 / static_cast<double>(plan.run);
-    At(first + 1, Kind::kArrive);
-    const auto returning = static_cast<std::size_t>(plan.returns * plan.servers);
-    for (std::size_t i = 0; i < returning; ++i) {
-      const auto spread = static_cast<Micros>(Unit() * kAway / 2);
-      At(std::max<Micros>(0, plan.returns_at - kAway + spread), Kind::kDie, i);
-      At(plan.returns_at + spread, Kind::kReturn, i);
+    rate_ = plan.load * plan.servers * plan.slots * 1e6 / static_cast<double>(plan.mean_run_time);
+    Schedule(first_start + 1, EventKind::kRequestArrives);
+    const auto restarting = static_cast<std::size_t>(plan.restarted_share * plan.servers);
+    for (std::size_t i = 0; i < restarting; ++i) {
+      const auto spread = static_cast<Micros>(UniformRandom() * kDowntime / 2);
+      Schedule(std::max<Micros>(0, plan.restart_at - kDowntime + spread), EventKind::kServerStops, i);
+      Schedule(plan.restart_at + spread, EventKind::kServerStarts, i);
     }
   }
 
-  Outcome Play() {
-    while (!happenings_.empty() && happenings_.top().at < kStart + plan_.length) {
-      const Happening h = happenings_.top();
-      happenings_.pop();
-      now_ = h.at;
-      On(h);
+  Outcome Simulate() {
+    while (!events_.empty() && events_.top().at < kStart + plan_.duration) {
+      const SimEvent event = events_.top();
+      events_.pop();
+      now_ = event.at;
+      Handle(event);
     }
-    double allowed = 0;
-    for (const Server& s : servers_) allowed += s.since > 0 ? BudgetWhole() : 0;
-    out_.used = allowed > 0 ? static_cast<double>(out_.cold_calls) / allowed : 0;
-    return out_;
+    double budget = 0;
+    for (const Server& s : servers_) budget += s.started_at > 0 ? SlowStartBudget() : 0;
+    outcome_.used_share = budget > 0 ? static_cast<double>(outcome_.calls_to_cold) / budget : 0;
+    return outcome_;
   }
 
  private:
-  double Unit() { return std::generate_canonical<double, 32>(random_); }
-  void At(Micros after, Kind kind, std::uint64_t a = 0, std::uint64_t b = 0) {
-    happenings_.push({now_ + after, ++order_, kind, a, b});
+  double UniformRandom() { return std::generate_canonical<double, 32>(random_); }
+  void Schedule(Micros after, EventKind kind, std::uint64_t a = 0, std::uint64_t b = 0) {
+    events_.push({now_ + after, ++order_, kind, a, b});
   }
-  double Share(const Server& s) const {
-    if (s.since == 0 || now_ >= s.since + plan_.warm_up) return 1;
-    return plan_.cold_from + (1 - plan_.cold_from) * static_cast<double>(now_ - s.since) / plan_.warm_up;
+  double SpeedShare(const Server& s) const {
+    if (s.started_at == 0 || now_ >= s.started_at + plan_.slow_start_time) return 1;
+    return plan_.slow_start_floor +
+           (1 - plan_.slow_start_floor) * static_cast<double>(now_ - s.started_at) / plan_.slow_start_time;
   }
-  bool Cold(const Server& s) const { return s.up && s.since > 0 && now_ < s.since + plan_.warm_up; }
-  double PerWarmWindow() const {
-    return plan_.overload_factor * plan_.slots * static_cast<double>(plan_.window) /
-           static_cast<double>(plan_.run);
+  bool IsCold(const Server& s) const {
+    return s.up && s.started_at > 0 && now_ < s.started_at + plan_.slow_start_time;
   }
-  // All that the settings allow a server over the whole of its slow start.
-  double BudgetWhole() const {
-    return PerWarmWindow() * (1 + plan_.cold_from) / 2 * static_cast<double>(plan_.warm_up) /
-           static_cast<double>(plan_.window);
+  double WarmWindowBudget() const {
+    return plan_.overload_factor * plan_.slots * static_cast<double>(plan_.overload_window) /
+           static_cast<double>(plan_.mean_run_time);
+  }
+  // The number of calls that the settings allow a server during its whole slow start.
+  double SlowStartBudget() const {
+    return WarmWindowBudget() * (1 + plan_.slow_start_floor) / 2 *
+           static_cast<double>(plan_.slow_start_time) / static_cast<double>(plan_.overload_window);
   }
 
-  void On(const Happening& h) {
-    switch (h.kind) {
-      case Kind::kArrive:
-        return Arrive();
-      case Kind::kTimer: {
-        Process& p = processes_[h.a >> 20];
-        if (p.life == static_cast<int>(h.a & 0xfffff))
-          Feed(h.a >> 20, pebblenotch::TimerDue{static_cast<std::uint32_t>(h.b)});
+  void Handle(const SimEvent& event) {
+    switch (event.kind) {
+      case EventKind::kRequestArrives:
+        return RequestArrives();
+      case EventKind::kModuleTimer: {
+        Process& p = processes_[event.a >> 20];
+        if (p.boot == static_cast<int>(event.a & 0xfffff))
+          NotifyModule(event.a >> 20, pebblenotch::TimerDue{static_cast<std::uint32_t>(event.b)});
         return;
       }
-      case Kind::kReach:
-        return Reach(h.a);
-      case Kind::kProbed: {
-        const Server& s = servers_[h.b];
-        pebblenotch::ProbeResult probed;
-        probed.worker = h.b + 1;
-        probed.result = s.up ? Result::kOk : Result::kConnectFailed;
-        if (s.up) probed.report = Report(s);
-        return Feed(h.a, probed);
+      case EventKind::kCallArrives:
+        return CallArrives(event.a);
+      case EventKind::kProbeEnds: {
+        const Server& s = servers_[event.b];
+        pebblenotch::ProbeResult probe;
+        probe.worker = event.b + 1;
+        probe.result = s.up ? Result::kOk : Result::kConnectFailed;
+        if (s.up) probe.report = Report(s);
+        return NotifyModule(event.a, probe);
       }
-      case Kind::kFinish:
-        return Finish(h.a, static_cast<Micros>(h.b));
-      case Kind::kEnd:
-        return End(h.a, static_cast<Result>(h.b));
-      case Kind::kDie:
-        servers_[h.a].up = false;
-        servers_[h.a].queue.clear();
-        servers_[h.a].busy = 0;
-        return At(kNotice, Kind::kTell, h.a);
-      case Kind::kReturn:
-        servers_[h.a].up = true;
-        servers_[h.a].since = now_;
-        return At(kNotice, Kind::kTell, h.a);
-      case Kind::kTell: {
+      case EventKind::kRunEnds:
+        return EndRun(event.a, static_cast<Micros>(event.b));
+      case EventKind::kCallEnds:
+        return EndCall(event.a, static_cast<Result>(event.b));
+      case EventKind::kServerStops:
+        servers_[event.a].up = false;
+        servers_[event.a].queue.clear();
+        servers_[event.a].busy = 0;
+        return Schedule(kListDelay, EventKind::kServerListed, event.a);
+      case EventKind::kServerStarts:
+        servers_[event.a].up = true;
+        servers_[event.a].started_at = now_;
+        return Schedule(kListDelay, EventKind::kServerListed, event.a);
+      case EventKind::kServerListed: {
         for (std::size_t p = 0; p < processes_.size(); ++p) {
-          const std::vector<pebblenotch::WorkerEntry> one = {Entry(h.a, p)};
-          Feed(p, pebblenotch::Membership{pebblenotch::ListKind::kChanges, one});
+          const std::vector<pebblenotch::WorkerEntry> one = {ListEntry(event.a, p)};
+          NotifyModule(p, pebblenotch::Membership{pebblenotch::ListKind::kChanges, one});
         }
         return;
       }
-      case Kind::kRestart: {
-        Process& p = processes_[h.a];
+      case EventKind::kProcessStarts: {
+        Process& p = processes_[event.a];
         p.module = std::make_unique<pebblenotch::Dispatcher>(
-            site_, plan_.seed * 7919 + h.a + ++lives_ * 104729, now_);
-        ++p.life;
-        p.heard.assign(servers_.size(), {0, 0});
+            settings_, plan_.seed * 7919 + event.a + ++boots_ * 104729, now_);
+        ++p.boot;
+        p.reported.assign(servers_.size(), {0, 0});
         std::vector<pebblenotch::WorkerEntry> all;
-        for (std::size_t i = 0; i < servers_.size(); ++i) all.push_back(Entry(i, h.a));
-        return Feed(h.a, pebblenotch::Membership{pebblenotch::ListKind::kCached, all});
+        for (std::size_t i = 0; i < servers_.size(); ++i) all.push_back(ListEntry(i, event.a));
+        return NotifyModule(event.a, pebblenotch::Membership{pebblenotch::ListKind::kCached, all});
       }
     }
   }
 
-  pebblenotch::WorkerEntry Entry(std::size_t i, std::size_t process) {
+  pebblenotch::WorkerEntry ListEntry(std::size_t i, std::size_t process) {
     pebblenotch::WorkerEntry e;
     e.id = i + 1;
-    const Micros started = servers_[i].since;
+    const Micros started_at = servers_[i].started_at;
     Process& p = processes_[process];
-    if (started > 0 && !p.heard.empty()) {
-      if (p.heard[i].first != started) p.heard[i] = {started, now_};
-      // As discovery::RouteTable dates a start.
-      const Micros heard = p.heard[i].second;
-      e.claimed_started_at = std::clamp<Micros>(started - plan_.clock_error, 1, heard);
-      e.started_at = heard;
+    if (started_at > 0 && !p.reported.empty()) {
+      if (p.reported[i].first != started_at) p.reported[i] = {started_at, now_};
+      // The same rule by which discovery::RouteTable dates a start.
+      const Micros reported_at = p.reported[i].second;
+      e.claimed_started_at = std::clamp<Micros>(started_at - plan_.clock_error, 1, reported_at);
+      e.started_at = reported_at;
     }
     e.state = servers_[i].up ? pebblenotch::WorkerState::kReady : pebblenotch::WorkerState::kGone;
     return e;
@@ -215,18 +219,19 @@
     return report;
   }
 
-  void Arrive() {
+  void RequestArrives() {
     const Micros t = now_ - kStart;
     const bool burst = plan_.burst_at >= 0 && t >= plan_.burst_at && t < plan_.burst_at + 1'000'000;
-    const bool lull = plan_.burst_at >= 0 && t < plan_.burst_at && t >= plan_.burst_at - plan_.lull_before;
+    const bool lull = plan_.burst_at >= 0 && t < plan_.burst_at && t >= plan_.burst_at - plan_.lull;
     const double rate = rate_ * (burst ? 5 : 1);
-    At(1 + static_cast<Micros>(-std::log(1 - Unit()) * 1e6 / rate), Kind::kArrive);
+    Schedule(1 + static_cast<Micros>(-std::log(1 - UniformRandom()) * 1e6 / rate),
+             EventKind::kRequestArrives);
     if (lull) return;
-    ++out_.asked;
-    Ask({static_cast<int>(random_(static_cast<std::uint32_t>(plan_.processes))), 0});
+    ++outcome_.requests;
+    SendRequest({static_cast<int>(random_(static_cast<std::uint32_t>(plan_.processes))), 0});
   }
 
-  void Ask(Client client) {
+  void SendRequest(Client client) {
     const pebblenotch::RequestId id = ++last_request_;
     ++client.tries;
     clients_[id] = client;
@@ -234,10 +239,10 @@
     r.id = id;
     r.deadline = now_ + kDeadline;
     r.client_retry = client.tries > 1;
-    Feed(static_cast<std::size_t>(client.process), r);
+    NotifyModule(static_cast<std::size_t>(client.process), r);
   }
 
-  void Feed(std::size_t process, const pebblenotch::Event& event) {
+  void NotifyModule(std::size_t process, const pebblenotch::Event& event) {
     Process& p = processes_[process];
     if (!p.module) return;
     std::vector<pebblenotch::Action> actions;
@@ -245,78 +250,82 @@
     for (const auto& action : actions) {
       if (const auto* push = std::get_if<pebblenotch::Push>(&action)) {
         const int attempt = attempts_[push->id]++;
-        calls_[++last_call_] = {static_cast<int>(process), p.life, static_cast<int>(push->worker - 1),
+        calls_[++last_call_] = {static_cast<int>(process), p.boot, static_cast<int>(push->worker - 1),
                                 attempt, push->id};
-        At(kLink, Kind::kReach, last_call_);
+        Schedule(kNetworkDelay, EventKind::kCallArrives, last_call_);
       } else if (const auto* timer = std::get_if<pebblenotch::ArmTimer>(&action)) {
-        At(std::max<Micros>(1, timer->at - now_), Kind::kTimer,
-           process << 20 | static_cast<std::uint64_t>(p.life), timer->label);
+        Schedule(std::max<Micros>(1, timer->at - now_), EventKind::kModuleTimer,
+                 process << 20 | static_cast<std::uint64_t>(p.boot), timer->label);
       } else if (const auto* probe = std::get_if<pebblenotch::Probe>(&action)) {
-        At(2 * kLink, Kind::kProbed, process, probe->worker - 1);
-      } else if (const auto* refuse = std::get_if<pebblenotch::Shed>(&action)) {
-        Again(refuse->id);
+        Schedule(2 * kNetworkDelay, EventKind::kProbeEnds, process, probe->worker - 1);
+      } else if (const auto* shed = std::get_if<pebblenotch::Shed>(&action)) {
+        RetryOrGiveUp(shed->id);
       } else if (const auto* fail = std::get_if<pebblenotch::Fail>(&action)) {
-        Again(fail->id);
+        RetryOrGiveUp(fail->id);
       }
     }
   }
 
-  void Again(pebblenotch::RequestId id) {
+  void RetryOrGiveUp(pebblenotch::RequestId id) {
     const auto it = clients_.find(id);
     if (it == clients_.end()) return;
     const Client client = it->second;
     clients_.erase(it);
-    if (client.tries < plan_.tries) Ask(client);
+    if (client.tries < plan_.max_tries) SendRequest(client);
   }
 
-  void Reach(std::uint64_t id) {
+  void CallArrives(std::uint64_t id) {
     Call& call = calls_.at(id);
     Server& s = servers_[static_cast<std::size_t>(call.server)];
-    ++out_.calls;
-    if (!s.up) return At(kLink, Kind::kEnd, id, static_cast<std::uint64_t>(Result::kConnectFailed));
-    while (!s.calls.empty() && s.calls.front() <= now_ - plan_.window) s.calls.pop_front();
+    ++outcome_.calls;
+    if (!s.up)
+      return Schedule(kNetworkDelay, EventKind::kCallEnds, id,
+                      static_cast<std::uint64_t>(Result::kConnectFailed));
+    while (!s.calls.empty() && s.calls.front() <= now_ - plan_.overload_window) s.calls.pop_front();
     s.calls.push_back(now_);
-    if (Cold(s)) Judge(s);
-    if (s.busy < plan_.slots) return Begin(s, id);
+    if (IsCold(s)) CheckBudget(s);
+    if (s.busy < plan_.slots) return StartRun(s, id);
     if (static_cast<int>(s.queue.size()) >= plan_.queue)
-      return At(kLink, Kind::kEnd, id, static_cast<std::uint64_t>(Result::kFull));
+      return Schedule(kNetworkDelay, EventKind::kCallEnds, id, static_cast<std::uint64_t>(Result::kFull));
     s.queue.push_back(id);
   }
 
-  void Judge(Server& s) {
-    ++out_.cold_calls;
-    const double n = PerWarmWindow() * Share(s);
-    const double most = n < kSmallBudget ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
-    const auto got = static_cast<double>(
-        std::count_if(s.calls.begin(), s.calls.end(), [&s](Micros at) { return at >= s.since; }));
-    out_.worst = std::max(out_.worst, got / most);
-    if (got > most && !std::exchange(s.overloaded, true)) ++out_.overloads;
+  void CheckBudget(Server& s) {
+    ++outcome_.calls_to_cold;
+    const double budget = WarmWindowBudget() * SpeedShare(s);
+    const double limit =
+        budget < kSmallBudget ? budget + 3 * std::sqrt(budget) + 3 : budget + 2 * std::sqrt(budget) + 2;
+    const auto calls = static_cast<double>(
+        std::count_if(s.calls.begin(), s.calls.end(), [&s](Micros at) { return at >= s.started_at; }));
+    outcome_.max_budget_ratio = std::max(outcome_.max_budget_ratio, calls / limit);
+    if (calls > limit && !std::exchange(s.overloaded, true)) ++outcome_.overloads;
   }
 
-  void Begin(Server& s, std::uint64_t id) {
+  void StartRun(Server& s, std::uint64_t id) {
     ++s.busy;
-    const double normal = std::normal_distribution<double>()(random_);
-    const double work = static_cast<double>(plan_.run) * std::exp(0.5 * normal - 0.125);
-    At(static_cast<Micros>(work / Share(s)), Kind::kFinish, id, static_cast<std::uint64_t>(s.since));
+    const double log_factor = std::normal_distribution<double>()(random_);
+    const double work = static_cast<double>(plan_.mean_run_time) * std::exp(0.5 * log_factor - 0.125);
+    Schedule(static_cast<Micros>(work / SpeedShare(s)), EventKind::kRunEnds, id,
+             static_cast<std::uint64_t>(s.started_at));
   }
 
-  void Finish(std::uint64_t id, Micros since) {
+  void EndRun(std::uint64_t id, Micros started_at) {
     Server& s = servers_[static_cast<std::size_t>(calls_.at(id).server)];
-    if (!s.up || s.since != since) return End(id, Result::kReset);
+    if (!s.up || s.started_at != started_at) return EndCall(id, Result::kReset);
     --s.busy;
     if (!s.queue.empty()) {
       const std::uint64_t next = s.queue.front();
       s.queue.pop_front();
-      Begin(s, next);
+      StartRun(s, next);
     }
-    At(kLink, Kind::kEnd, id, static_cast<std::uint64_t>(Result::kOk));
+    Schedule(kNetworkDelay, EventKind::kCallEnds, id, static_cast<std::uint64_t>(Result::kOk));
   }
 
-  void End(std::uint64_t id, Result result) {
+  void EndCall(std::uint64_t id, Result result) {
     const Call call = calls_.at(id);
     calls_.erase(id);
     const auto process = static_cast<std::size_t>(call.process);
-    if (processes_[process].life != call.life) return;
+    if (processes_[process].boot != call.boot) return;
     const Server& s = servers_[static_cast<std::size_t>(call.server)];
     pebblenotch::Outcome o;
     o.id = call.request;
@@ -327,30 +336,30 @@
     if (result == Result::kOk || result == Result::kFull) {
       o.report = Report(s);
     }
-    if (result == Result::kOk && clients_.erase(call.request) > 0) ++out_.served;
-    Feed(process, o);
+    if (result == Result::kOk && clients_.erase(call.request) > 0) ++outcome_.served;
+    NotifyModule(process, o);
   }
 
   Plan plan_;
-  pebblenotch::Settings site_;
+  pebblenotch::Settings settings_;
   pcg64 random_;
   Micros now_ = kStart;
   double rate_ = 1;
-  std::uint64_t order_ = 0, last_call_ = 0, lives_ = 0;
+  std::uint64_t order_ = 0, last_call_ = 0, boots_ = 0;
   pebblenotch::RequestId last_request_ = 0;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> happenings_;
+  std::priority_queue<SimEvent, std::vector<SimEvent>, std::greater<>> events_;
   std::vector<Server> servers_;
   std::vector<Process> processes_;
   std::unordered_map<std::uint64_t, Call> calls_;
   std::unordered_map<pebblenotch::RequestId, Client> clients_;
   std::unordered_map<pebblenotch::RequestId, int> attempts_;
-  Outcome out_;
+  Outcome outcome_;
 };
 
 }  // namespace
 
-Plan Drawn(std::uint64_t seed) {
-  constexpr double kMostCallsPerSecond = 1'500;
+Plan RandomPlan(std::uint64_t seed) {
+  constexpr double kMaxCallsPerSecond = 1'500;
   constexpr int kProcesses[] = {1, 2, 3, 4, 6, 8, 12, 24, 60}, kServers[] = {6, 14, 36, 60, 100};
   pcg64 random(seed);
   const auto between = [&random](double low, double high) {
@@ -361,29 +370,30 @@
   plan.processes = kProcesses[random(static_cast<std::uint32_t>(std::size(kProcesses)))];
   plan.servers = kServers[random(static_cast<std::uint32_t>(std::size(kServers)))];
   plan.slots = 1 + static_cast<int>(random(4u));
-  plan.run = static_cast<Micros>(std::exp(between(std::log(30e3), std::log(3e6))));
+  plan.mean_run_time = static_cast<Micros>(std::exp(between(std::log(30e3), std::log(3e6))));
   plan.load = between(0.2, 1.4);
-  const double calls = plan.load * plan.servers * plan.slots * 1e6 / static_cast<double>(plan.run);
-  if (calls > kMostCallsPerSecond)
-    plan.run = static_cast<Micros>(static_cast<double>(plan.run) * calls / kMostCallsPerSecond);
-  plan.tries = random(2u) == 0 ? 1 : 6;
-  plan.length = 22'000'000;
-  plan.cold_from = between(0.05, 0.6);
+  const double calls = plan.load * plan.servers * plan.slots * 1e6 / static_cast<double>(plan.mean_run_time);
+  if (calls > kMaxCallsPerSecond)
+    plan.mean_run_time =
+        static_cast<Micros>(static_cast<double>(plan.mean_run_time) * calls / kMaxCallsPerSecond);
+  plan.max_tries = random(2u) == 0 ? 1 : 6;
+  plan.duration = 22'000'000;
+  plan.slow_start_floor = between(0.05, 0.6);
   plan.overload_factor = between(1.2, 3);
-  plan.window = static_cast<Micros>(between(0.5e6, 3.5e6));
-  plan.warm_up = static_cast<Micros>(between(2e6, 10e6));
-  plan.returns = between(0.05, 0.9);
-  if (random(2u) == 0) plan.restart_every = static_cast<Micros>(between(4e6, 10e6));
-  plan.starts_together = random(4u) == 0;
+  plan.overload_window = static_cast<Micros>(between(0.5e6, 3.5e6));
+  plan.slow_start_time = static_cast<Micros>(between(2e6, 10e6));
+  plan.restarted_share = between(0.05, 0.9);
+  if (random(2u) == 0) plan.process_restart_interval = static_cast<Micros>(between(4e6, 10e6));
+  plan.processes_start_together = random(4u) == 0;
   plan.probes = random(2u) == 0;
   if (random(3u) == 0) {
     plan.burst_at = 13'000'000;
-    plan.lull_before = static_cast<Micros>(between(0, 3e6));
+    plan.lull = static_cast<Micros>(between(0, 3e6));
   }
-  if (random(3u) == 0) plan.told_processes = 1;
+  if (random(3u) == 0) plan.configured_processes = 1;
   return plan;
 }
 
-Outcome Play(const Plan& plan) { return World(plan).Play(); }
+Outcome Simulate(const Plan& plan) { return Simulation(plan).Simulate(); }
 
 }  // namespace heronway::slow_start
