--- a/bench/storm/world.h
+++ b/bench/storm/world.h
@@ -1,10 +1,11 @@
-// A fleet, its clients and its schedulers in virtual time: reducers without sockets, so that sizes can be
-// tried that loopback does not reach. Deterministic for a seed.
+// Simulates a fleet of workers, its clients and its schedulers in virtual time. The schedulers are reducers
+// without sockets, so the fleet can be larger than one that communicates over loopback. Deterministic for a
+// seed.
 //
-// Workers have slots, a bounded queue, a cold start that rises evenly, and fall over when they are sent more
-// than a set multiple of what they can do. Clients ask at a Poisson rate and come again when they are
-// refused, failed or left without an answer: at once, after the wait they are told, or all together. The
-// world audits the four rules as it goes.
+// Workers have slots, a bounded queue and a slow start with linearly rising speed. A worker in slow start
+// fails if it is sent more than a set multiple of its capacity. Requests arrive at a Poisson rate. Clients
+// retry if they are shed, get a failure or get no answer: immediately, after the retry delay they were sent,
+// or all at the same time. The simulation counts violations of the rules that Outcome::KeepsAllRules checks.
 #ifndef HERONWAY_BENCH_STORM_WORLD_H_
 #define HERONWAY_BENCH_STORM_WORLD_H_
 
@@ -22,80 +23,91 @@
 using core::Micros;
 inline constexpr Micros kMs = 1'000, kS = 1'000'000;
 
-// What a scheduler that has just started is told by two that run.
-enum class Learns : std::uint8_t {
+// What two running schedulers report about targets to one that has just started.
+enum class PeerReports : std::uint8_t {
   kNothing,
-  kPeers,
-  kOneIsWrong,  // one of the two says the opposite of what it knows, and that it is news
-  kOneIsStale,  // one of the two says what it knew 5 s ago, and that it is news
+  kCorrect,
+  kOneWrong,  // one peer reports the opposite of what it knows, as current
+  kOneStale,  // one peer reports what it knew 5 s ago, as current
 };
 
+// Parameters of a simulation. All times are in microseconds; points in time count from its start.
 struct Plan {
   int schedulers = 1, workers = 12, clients = 1'000;
-  double load = 1.0;  // of what the whole fleet can do
-  Micros length = 45 * kS;
+  double load = 1.0;  // first tries, as a share of the capacity of the whole fleet
+  Micros duration = 45 * kS;
   Micros aim = 1'200 * kMs, deadline = 3'000 * kMs;
-  double stretch = 1.75;
-  bool one_class = false;  // else three, of which the rarest is worth most
-  int tries = 4;           // a client's, at most
-  double at_once = 0.5;    // of the clients come again at once; the others follow the wait they are told
-  bool unnamed = false;    // clients have no key: a repeat is only marked as one
-  double stays = 0.9;      // of the tries go to the scheduler of the one before
-  // Deaths: `part` of the workers at each time, for `dead` each.
-  std::vector<Micros> deaths = {10 * kS};
-  double part = 0.25;
-  Micros dead = 6 * kS, warm_up = 6 * kS;
-  double cold_from = 0.3;
-  Micros notice = 2 * kS;        // until the list tells of a death or a return
-  std::vector<Micros> together;  // at these times every client that waits to come again comes
+  double aim_stretch = 1.75;
+  bool one_class = false;              // otherwise three, of which the least frequent has the highest worth
+  int max_tries = 4;                   // of each client
+  double immediate_retry_share = 0.5;  // of the clients; the others wait for the retry delay that they get
+  bool without_client_key = false;     // a retry is recognized only by its mark
+  double same_scheduler_share = 0.9;   // share of the retries that go to the scheduler of the previous try
+  // At each of these times, `outage_share` of the workers stop for `outage_duration`.
+  std::vector<Micros> outages_at = {10 * kS};
+  double outage_share = 0.25;
+  Micros outage_duration = 6 * kS, slow_start_time = 6 * kS;
+  double slow_start_floor = 0.3;
+  Micros list_delay = 2 * kS;  // until the route list shows that a worker stopped; half of it for a start
+  std::vector<Micros> simultaneous_retries_at;  // every client that waits to retry does so at these times
   std::uint64_t seed = 1;
   limits::Settings limits;
-  // A fleet with a fresh member: the last scheduler starts at this time, with the list as it is told then;
-  // before, nobody comes to it. -1: all run from the start.
-  Micros fresh_at = -1;
-  Learns learns = Learns::kNothing;
-  bool probes = false;       // the site allows them
-  Micros half_gone_at = -1;  // from then on nobody comes to the first half of the schedulers; -1: never
+  // The last scheduler starts at this time, with the route list of that time; earlier, no client uses it.
+  // -1: all schedulers run from the start.
+  Micros new_scheduler_at = -1;
+  PeerReports peer_reports = PeerReports::kNothing;
+  bool probes = false;          // the settings allow probes
+  Micros half_stopped_at = -1;  // from then on no client uses the first half of the schedulers; -1: never
 };
 
+// Counts for one second of the simulation.
 struct Second {
   int first_tries = 0, tries = 0, hops = 0, first_hops = 0;
-  int served = 0, in_time = 0, refused = 0, failed = 0;  // by the try's end
-  double value = 0;                                      // of what was in time: worth for each second of work
+  int served = 0, in_time = 0, shed = 0, failed = 0;  // in the second in which the try ended
+  double value = 0;                                   // of tries served in time: worth times seconds of work
 };
 
-// What became of the tries of the fresh scheduler's first ten seconds.
-struct Fresh {
-  std::uint64_t asked = 0, in_time = 0, late = 0, lost = 0, hops = 0, hops_broken = 0;
-  std::uint64_t learnt = 0, looked = 0;  // reports taken of others, probes that others' word brought about
+// Outcomes of the tries that the new scheduler received in its first ten seconds. `lost` tries were not
+// served, `hops_broken` ended without a result.
+struct NewScheduler {
+  std::uint64_t tries = 0, in_time = 0, late = 0, lost = 0, hops = 0, hops_broken = 0;
+  std::uint64_t loads_adopted = 0, suspicions = 0;  // from peers: loads that it used, targets that it probed
 };
 
 struct Outcome {
   std::vector<Second> seconds;
-  Fresh fresh;
-  double cold_most = 0;        // work sent to a cold worker, of what fells it, at the most
-  std::vector<int> cold_hops;  // a second, to workers that are cold
+  NewScheduler new_scheduler;
+  double max_cold_load = 0;       // highest work sent to a cold worker, as a share of what overloads it
+  std::vector<int> hops_to_cold;  // hops to workers in slow start, by second
   std::uint64_t first_tries = 0, tries = 0, hops = 0, served = 0, in_time = 0;
-  std::uint64_t unanswered = 0, twice = 0, second_copies = 0, bad_repeats = 0, to_the_gone = 0, fell = 0;
-  // By how clients come again: of those first tries that were not served at once, how many were in the end.
-  std::uint64_t turned[2] = {}, turned_served[2] = {};  // 0: at once, 1: follows the wait
-  std::array<std::uint64_t, 3> asked_by_class{}, served_by_class{};
+  // Violations of rules: tries without an answer, tries answered twice, hops sent while another was in
+  // flight, unsafe retries, hops to workers listed as gone, and cold workers that were overloaded.
+  std::uint64_t unanswered = 0, answered_twice = 0, concurrent_hops = 0, unsafe_retries = 0, hops_to_gone = 0,
+                overloads = 0;
+  // Requests that were not served at the first try, and how many of them were served in the end. Index 0: by
+  // clients that retry immediately, 1: by clients that wait for the retry delay.
+  std::uint64_t retried[2] = {}, retried_served[2] = {};
+  std::array<std::uint64_t, 3> requests_by_class{}, served_by_class{};
   limits::Counters limits;                   // summed over the schedulers
   std::vector<limits::StormChange> changes;  // of the first scheduler
 
-  double InTimeBetween(int from, int to) const;  // a second
-  double ValueBetween(int from, int to) const;   // likewise
-  double HopsPerFirst(int from, int to) const;
-  // Hops for each that was the first of a try that was taken: what the program itself adds.
+  // Averages per second over the seconds from `from` to before `to`.
+  double InTimeBetween(int from, int to) const;
+  double ValueBetween(int from, int to) const;
+  // Ratios over the same seconds.
+  double HopsPerFirstTry(int from, int to) const;
+  // All hops for each first hop of a try: the load that the schedulers add by themselves.
   double Amplification(int from, int to) const;
-  double TriesPerFirst(int from, int to) const;
-  // Seconds after `from` until the value in time has been at `share` of what it was in the five before
-  // `before`, over two seconds on end; -1: not by the end.
-  int RecoveredAfter(int before, int from, double share) const;
-  bool Clean() const { return unanswered + twice + second_copies + bad_repeats + to_the_gone + fell == 0; }
+  double TriesPerFirstTry(int from, int to) const;
+  // Seconds after `from` until ValueBetween over two seconds is at least `share` of its average over the five
+  // seconds before `before`; -1: not by the end.
+  int SecondsToRecover(int before, int from, double share) const;
+  bool KeepsAllRules() const {
+    return unanswered + answered_twice + concurrent_hops + unsafe_retries + hops_to_gone + overloads == 0;
+  }
 };
 
-Outcome Play(const Plan& plan);
+Outcome Simulate(const Plan& plan);
 
 }  // namespace heronway::storm
 
--- a/tests/storm_test.cpp
+++ b/tests/storm_test.cpp
@@ -1,5 +1,5 @@
-// Retry storms in virtual time, small enough for CI. Each story is played with the limits on; where the
-// limits are what saves it, it is played without them as well and must show the failure.
+// Tests of retry storms in a simulated fleet, small enough for CI. Each scenario runs with the limits on. If
+// the limits are what prevents a failure, the scenario also runs without them and must show that failure.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 namespace heronway::storm {
 namespace {
 
-Plan On(double load, std::uint64_t seed = 1) {
+Plan PlanWithLimits(double load, std::uint64_t seed = 1) {
   Plan plan;
   plan.load = load;
   plan.seed = seed;
@@ -17,149 +17,150 @@
   return plan;
 }
 
-TEST(Storm, MetastableWithoutLimitsAndBackWithinAWarmUpWithThem) {
-  Plan plan = On(1.0);
+TEST(Storm, MetastableWithoutLimitsAndRecoversWithinASlowStartWithThem) {
+  Plan plan = PlanWithLimits(1.0);
   plan.one_class = true;
-  const Outcome on = Play(plan);
-  EXPECT_TRUE(on.Clean());
-  const int back = on.RecoveredAfter(10, 16, 0.95);
-  EXPECT_TRUE(back >= 0 && back <= 6) << back;
+  const Outcome on = Simulate(plan);
+  EXPECT_TRUE(on.KeepsAllRules());
+  const int recovered_after = on.SecondsToRecover(10, 16, 0.95);
+  EXPECT_TRUE(recovered_after >= 0 && recovered_after <= 6) << recovered_after;
   plan.limits.enabled = false;
-  const Outcome off = Play(plan);
-  EXPECT_EQ(off.RecoveredAfter(10, 16, 0.95), -1);  // the failure that the limits are for
+  const Outcome off = Simulate(plan);
+  EXPECT_EQ(off.SecondsToRecover(10, 16, 0.95), -1);  // the failure that the limits prevent
   EXPECT_LT(off.InTimeBetween(16, 24), 0.6 * on.InTimeBetween(16, 24));
 }
 
-TEST(Storm, AQuietDayIsTheSameWithAndWithoutLimits) {
-  Plan plan = On(0.6);
-  plan.deaths.clear();
-  const Outcome on = Play(plan);
+TEST(Storm, LimitsChangeNothingWithoutAStorm) {
+  Plan plan = PlanWithLimits(0.6);
+  plan.outages_at.clear();
+  const Outcome on = Simulate(plan);
   plan.limits.enabled = false;
-  const Outcome off = Play(plan);
+  const Outcome off = Simulate(plan);
   EXPECT_EQ(on.served, off.served);
   EXPECT_EQ(on.in_time, off.in_time);
   EXPECT_TRUE(on.changes.empty());
 }
 
-TEST(Storm, HopsPerFirstTryStayBounded) {
+TEST(Storm, HopsPerTryStayBounded) {
   for (const std::uint64_t seed : {1, 2}) {
-    const Outcome on = Play(On(1.3, seed));
-    EXPECT_TRUE(on.Clean());
+    const Outcome on = Simulate(PlanWithLimits(1.3, seed));
+    EXPECT_TRUE(on.KeepsAllRules());
     EXPECT_LE(on.Amplification(10, 24), 1.1);
   }
 }
 
-TEST(Storm, ClientsThatFollowTheWaitFareBetterThanThoseThatHammer) {
-  const Outcome on = Play(On(1.0));
-  ASSERT_GT(on.turned[0], 50u);
-  const auto share = [&](int kind) {
-    return static_cast<double>(on.turned_served[kind]) / static_cast<double>(on.turned[kind]);
+TEST(Storm, ClientsThatWaitAreServedMoreOftenThanThoseThatRetryImmediately) {
+  const Outcome on = Simulate(PlanWithLimits(1.0));
+  ASSERT_GT(on.retried[0], 50u);
+  const auto served_share = [&](int kind) {
+    return static_cast<double>(on.retried_served[kind]) / static_cast<double>(on.retried[kind]);
   };
-  EXPECT_GT(share(1), share(0));
+  EXPECT_GT(served_share(1), served_share(0));
   EXPECT_GT(on.limits.early_retries, 100u);
 }
 
-TEST(Storm, NorDoesHammeringPayForClientsWithoutAName) {
+TEST(Storm, ImmediateRetriesAreNoAdvantageForClientsWithoutAKey) {
   for (const std::uint64_t seed : {1, 2, 3}) {
-    Plan plan = On(1.0, seed);
-    plan.one_class = plan.unnamed = true;
-    const Outcome on = Play(plan);
-    EXPECT_TRUE(on.Clean());
-    EXPECT_GT(on.turned_served[1] * on.turned[0], on.turned_served[0] * on.turned[1]) << seed;
+    Plan plan = PlanWithLimits(1.0, seed);
+    plan.one_class = plan.without_client_key = true;
+    const Outcome on = Simulate(plan);
+    EXPECT_TRUE(on.KeepsAllRules());
+    EXPECT_GT(on.retried_served[1] * on.retried[0], on.retried_served[0] * on.retried[1]) << seed;
   }
 }
 
-TEST(Storm, NoClassIsStarvedByOneOfMoreWorth) {
-  const Outcome on = Play(On(1.3));
+TEST(Storm, NoClassIsStarvedByOneOfHigherWorth) {
+  const Outcome on = Simulate(PlanWithLimits(1.3));
   for (const int c : {0, 1, 2}) {
     const auto i = static_cast<std::size_t>(c);
-    EXPECT_GT(static_cast<double>(on.served_by_class[i]) / static_cast<double>(on.asked_by_class[i]), 0.03)
+    EXPECT_GT(static_cast<double>(on.served_by_class[i]) / static_cast<double>(on.requests_by_class[i]), 0.03)
         << c;
   }
 }
 
-TEST(Storm, EveryClientComingAtTheSameMomentBreaksNoRule) {
-  Plan plan = On(1.0);
-  plan.at_once = 0;
-  plan.together = {17 * kS, 18 * kS, 19 * kS};
-  const Outcome on = Play(plan);
-  EXPECT_TRUE(on.Clean());
-  const int back = on.RecoveredAfter(10, 19, 0.95);
-  EXPECT_TRUE(back >= 0 && back <= 8) << back;
+TEST(Storm, SimultaneousRetriesOfAllClientsBreakNoRule) {
+  Plan plan = PlanWithLimits(1.0);
+  plan.immediate_retry_share = 0;
+  plan.simultaneous_retries_at = {17 * kS, 18 * kS, 19 * kS};
+  const Outcome on = Simulate(plan);
+  EXPECT_TRUE(on.KeepsAllRules());
+  const int recovered_after = on.SecondsToRecover(10, 19, 0.95);
+  EXPECT_TRUE(recovered_after >= 0 && recovered_after <= 8) << recovered_after;
 }
 
-TEST(Storm, AQuarterThatDiesAgainDuringTheRampFellsNoColdWorker) {
-  Plan plan = On(1.0);
-  plan.deaths = {10 * kS, 18 * kS};
-  const Outcome on = Play(plan);
-  EXPECT_TRUE(on.Clean());
-  const int back = on.RecoveredAfter(10, 24, 0.95);
-  EXPECT_TRUE(back >= 0 && back <= 10) << back;
+TEST(Storm, ASecondOutageDuringSlowStartOverloadsNoColdWorker) {
+  Plan plan = PlanWithLimits(1.0);
+  plan.outages_at = {10 * kS, 18 * kS};
+  const Outcome on = Simulate(plan);
+  EXPECT_TRUE(on.KeepsAllRules());
+  const int recovered_after = on.SecondsToRecover(10, 24, 0.95);
+  EXPECT_TRUE(recovered_after >= 0 && recovered_after <= 10) << recovered_after;
 }
 
-TEST(Storm, SchedulersThatShareNothingEachTakeTheirPart) {
-  Plan plan = On(1.0);
+TEST(Storm, SchedulersWithoutSharedStateStayWithinBounds) {
+  Plan plan = PlanWithLimits(1.0);
   plan.schedulers = 4;
   plan.workers = 48;
   plan.clients = 4'000;
-  const Outcome on = Play(plan);
-  EXPECT_TRUE(on.Clean());
+  const Outcome on = Simulate(plan);
+  EXPECT_TRUE(on.KeepsAllRules());
   EXPECT_LE(on.Amplification(10, 24), 1.1);
 }
 
-// A scheduler that starts in a fleet under load, just after a quarter of the workers died. Told by its peers
-// it sends fewer of its jobs to the dead; a peer that is wrong or stale breaks no rule and fells no cold
-// worker.
-TEST(Fresh, LearnsOfItsPeersAndAWrongOneDoesNoHarm) {
+// A scheduler starts in a fleet under load, just after a quarter of the workers stopped. With the reports of
+// its peers it sends fewer hops to stopped workers. A wrong or stale peer causes no violation of a rule and
+// overloads no cold worker.
+TEST(SchedulerStart, UsesReportsOfPeersAndAWrongPeerDoesNoHarm) {
   Plan plan;
   plan.schedulers = 4;
   plan.workers = 24;
   plan.load = 0.5;
-  plan.length = 20 * kS;
-  plan.fresh_at = 10'300 * kMs;
+  plan.duration = 20 * kS;
+  plan.new_scheduler_at = 10'300 * kMs;
   plan.probes = true;
-  std::map<Learns, Fresh> sum;
+  std::map<PeerReports, NewScheduler> sum;
   for (const std::uint64_t seed : {1, 2, 3, 4}) {
     plan.seed = seed;
-    for (const Learns l : {Learns::kNothing, Learns::kPeers, Learns::kOneIsWrong, Learns::kOneIsStale}) {
-      plan.learns = l;
-      const Outcome out = Play(plan);
-      EXPECT_TRUE(out.Clean());
-      EXPECT_LT(out.cold_most, 0.8);
-      EXPECT_GT(out.fresh.asked, 200u);
-      EXPECT_EQ(out.fresh.in_time, out.fresh.asked);
-      sum[l].hops_broken += out.fresh.hops_broken;
-      sum[l].learnt += out.fresh.learnt;
+    for (const PeerReports reports :
+         {PeerReports::kNothing, PeerReports::kCorrect, PeerReports::kOneWrong, PeerReports::kOneStale}) {
+      plan.peer_reports = reports;
+      const Outcome out = Simulate(plan);
+      EXPECT_TRUE(out.KeepsAllRules());
+      EXPECT_LT(out.max_cold_load, 0.8);
+      EXPECT_GT(out.new_scheduler.tries, 200u);
+      EXPECT_EQ(out.new_scheduler.in_time, out.new_scheduler.tries);
+      sum[reports].hops_broken += out.new_scheduler.hops_broken;
+      sum[reports].loads_adopted += out.new_scheduler.loads_adopted;
     }
   }
-  EXPECT_EQ(sum[Learns::kNothing].learnt, 0u);
-  EXPECT_GT(sum[Learns::kPeers].learnt, 20u);
-  EXPECT_LT(2 * sum[Learns::kPeers].hops_broken, sum[Learns::kNothing].hops_broken);
+  EXPECT_EQ(sum[PeerReports::kNothing].loads_adopted, 0u);
+  EXPECT_GT(sum[PeerReports::kCorrect].loads_adopted, 20u);
+  EXPECT_LT(2 * sum[PeerReports::kCorrect].hops_broken, sum[PeerReports::kNothing].hops_broken);
 }
 
-// Half of the schedulers go at one moment while a quarter of the workers are cold: the others, who have their
-// clients from then on, do not push twice and a half as much at cold workers at once, and fell none.
-TEST(Fresh, AMassDeathOfSchedulersFloodsNoColdWorker) {
+// Half of the schedulers stop at the same time, while a quarter of the workers are in slow start. The others
+// take over their clients; they send less than 2.5 times as many hops to cold workers and overload none.
+TEST(SchedulerOutage, LossOfHalfTheSchedulersOverloadsNoColdWorker) {
   Plan plan;
   plan.schedulers = 8;
   plan.workers = 24;
   plan.load = 0.6;
-  plan.length = 24 * kS;
-  plan.deaths = {6 * kS};
-  plan.dead = 2 * kS;
-  plan.warm_up = 8 * kS;
+  plan.duration = 24 * kS;
+  plan.outages_at = {6 * kS};
+  plan.outage_duration = 2 * kS;
+  plan.slow_start_time = 8 * kS;
   double before = 0, after = 0;
   for (const std::uint64_t seed : {1, 2, 3, 4, 5, 6, 7, 8}) {
     plan.seed = seed;
-    plan.half_gone_at = 12 * kS;
-    const Outcome gone = Play(plan);
-    EXPECT_TRUE(gone.Clean()) << seed;
-    EXPECT_LT(gone.cold_most, 0.8) << seed;
-    plan.half_gone_at = -1;
-    const Outcome all = Play(plan);
+    plan.half_stopped_at = 12 * kS;
+    const Outcome half_stopped = Simulate(plan);
+    EXPECT_TRUE(half_stopped.KeepsAllRules()) << seed;
+    EXPECT_LT(half_stopped.max_cold_load, 0.8) << seed;
+    plan.half_stopped_at = -1;
+    const Outcome all = Simulate(plan);
     for (const std::size_t s : {12, 13}) {
-      before += all.cold_hops[s];
-      after += gone.cold_hops[s];
+      before += all.hops_to_cold[s];
+      after += half_stopped.hops_to_cold[s];
     }
   }
   EXPECT_GT(before, 20);
