--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -82,9 +82,9 @@
     waited += Now() - began;
   }
   const auto c = writer.counts();
-  return {
-      static_cast<double>(n) / waited, Quantile(took, 0.5), Quantile(took, 0.99),
-      std::to_string(c.commits > 0 ? n / c.commits : 0) + " a commit, " + std::to_string(c.compactions) + " folds"};
+  return {static_cast<double>(n) / waited, Quantile(took, 0.5), Quantile(took, 0.99),
+          std::to_string(c.commits > 0 ? n / c.commits : 0) + " a commit, " + std::to_string(c.compactions) +
+              " folds"};
 }
 
 // A folder with what the program needs; the program in it.
--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -132,7 +132,7 @@
 
 // A hop's word while its round is on. A failure within a client's wait is one hop's end: the module may try
 // another.
-void Reducer::ReportToKeeper(const Job& job, int hop, const HopCallback& e) {
+void Reducer::ReportToJobManager(const Job& job, int hop, const HopCallback& e) {
   if (e.state == CallbackState::kFailed && !job.round) return;
   job_manager_->HandleReport(now_, job.id, job.hops[static_cast<std::size_t>(hop)].epoch, SaidBy(e.state),
                              e.result, records_);
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -197,7 +197,7 @@
   const int n = static_cast<int>(hop - hops.begin());
   hop->taken = true;
   if (last) effects_->push_back(HopCompleted{ticket, n});
-  if (job->second.durable) ReportToKeeper(job->second, n, e);
+  if (job->second.durable) ReportToJobManager(job->second, n, e);
   switch (e.state) {
     case CallbackState::kStarted:
     case CallbackState::kRunning:
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -130,7 +130,8 @@
   Report report;
   Micros age = 0;
 };
-// Durable jobs of another scheduler, or of an earlier process of this one (see durable::JobManager for store ids).
+// Durable jobs of another scheduler, or of an earlier process of this one (see durable::JobManager for store
+// ids).
 struct JobsAdopted {  // a batch of them; `first`: the first batch of this store
   int store_id = 0;
   bool first = false;
@@ -332,7 +333,7 @@
   ClassCounts& CountsOf(int job_class);
   bool MayStartHop(const Job& job, Micros limit);
 
-  void ReportToKeeper(const Job& job, int hop, const HopCallback& e);
+  void ReportToJobManager(const Job& job, int hop, const HopCallback& e);
   void OnUnmatchedCallback(const HopCallback& e);
   void CheckLeases();
   void StartDueRounds();
--- a/src/durable/backlog.h
+++ b/src/durable/backlog.h
@@ -1,5 +1,5 @@
-// The jobs that wait for their turn with the decision module: which is next, and how many may be there at a
-// time. No I/O, no clock.
+// Queues the jobs that wait to be dispatched to the decision module, and limits how many are dispatched at a
+// time. Does no I/O and reads no clock.
 #ifndef HERONWAY_DURABLE_BACKLOG_H_
 #define HERONWAY_DURABLE_BACKLOG_H_
 
@@ -18,16 +18,17 @@
 
 using pebblenotch::Micros;
 
-// Classes take turns, so that a busy one starves no other; within a class the higher priority goes first,
-// then the older.
+// Priority queue per class, with delayed entries. Classes are served round-robin, so that a busy one cannot
+// starve the others; within a class the order is by priority, then by age.
 class Backlog {
  public:
   explicit Backlog(std::size_t classes) : ready_(classes) {}
-  // Puts a job in, or elsewhere if it is in. `at`: not before; the past: at once.
+  // Adds a job, or moves it if it is queued already. It becomes ready at `at`; at once if that is past.
   void Schedule(const std::string& id, int job_class, int priority, Micros at);
   void Remove(const std::string& id);
-  std::optional<std::string> PopReady(Micros now);  // and takes it out
-  Micros next_ready_at() const;  // when the next becomes ready: 0 where one is, -1 where nothing waits
+  std::optional<std::string> PopReady(Micros now);  // removes and returns the next job
+  // Time at which the next job becomes ready; 0: one is ready now, -1: the queue is empty.
+  Micros next_ready_at() const;
   std::size_t size() const { return entries_.size(); }
   std::size_t delayed() const { return delayed_.size(); }
 
@@ -48,21 +49,21 @@
   std::uint64_t last_number_ = 0;
 };
 
-// How many may be in hand: from little after a start, so that a crowd of recovered jobs does not meet the
-// fleet as one; one more for each that is served; half when jobs come back unserved, at most every 100 ms.
-// Source: additive increase, multiplicative decrease (Chiu and Jain, 1989).
+// Limit of the jobs that are dispatched at a time. It starts small, so that many recovered jobs do not reach
+// the fleet at once, grows by one for each served job and is halved when a job is shed, at most once per
+// kMinCutInterval. Additive increase, multiplicative decrease (Chiu and Jain, 1989).
 class ConcurrencyWindow {
  public:
-  ConcurrencyWindow(int first, int most) : size_(first), most_(most) {}
-  void ShrinkTo(int first) { size_ = std::min(size_, first); }
-  void OnServed() { size_ = size_ < most_ ? size_ + 1 : most_; }
+  ConcurrencyWindow(int initial, int max_size) : size_(initial), max_size_(max_size) {}
+  void ShrinkTo(int size) { size_ = std::min(size_, size); }
+  void OnServed() { size_ = size_ < max_size_ ? size_ + 1 : max_size_; }
   void OnShed(Micros now);
   int size() const { return size_; }
   static constexpr int kMinSize = 4;
   static constexpr Micros kMinCutInterval = 100'000;
 
  private:
-  int size_, most_;
+  int size_, max_size_;
   Micros last_cut_at_ = -kMinCutInterval;
 };
 
--- a/src/durable/codec.cpp
+++ b/src/durable/codec.cpp
@@ -20,28 +20,28 @@
   out.pack(r.retries).pack(r.key).pack(r.priority);
 }
 
-class Members : public pack::ArrayReader {
+class FieldReader : public pack::ArrayReader {
  public:
   using pack::ArrayReader::ArrayReader;
   template <typename T>
-  Members& Get(T& value) {
+  FieldReader& Get(T& value) {
     Next().convert(value);
     return *this;
   }
   template <typename T>
-  Members& GetEnum(T& value, T last) {
+  FieldReader& GetEnum(T& value, T last) {
     value = Enum(last);
     return *this;
   }
-  Members& Get(LeaseHolder& h) {
-    Members(Next(), 3).Get(h.worker).Get(h.zone).Get(h.cell);
+  FieldReader& Get(LeaseHolder& h) {
+    FieldReader(Next(), 3).Get(h.worker).Get(h.zone).Get(h.cell);
     return *this;
   }
 };
 
 Record ToRecord(const msgpack::object& o) {
   Record r;
-  Members in(o, 14);
+  FieldReader in(o, 14);
   in.GetEnum(r.kind, RecordKind::kClockSteppedBack)
       .Get(r.id)
       .Get(r.at)
@@ -53,17 +53,17 @@
   return r;
 }
 
-// `read` is given the members behind the form's number.
+// Checks the format version and passes the fields after it to `read`.
 template <typename T, typename Read>
 std::optional<T> Decode(std::string_view bytes, Read read) {
   try {
     const msgpack::object_handle whole = msgpack::unpack(bytes.data(), bytes.size());
-    Members in(whole.get(), 2);
+    FieldReader in(whole.get(), 2);
     int format_version = 0;
     in.Get(format_version);
     if (format_version != kFormatVersion) return std::nullopt;
     return read(in);
-  } catch (const std::exception&) {  // cut, not MessagePack, or of other types
+  } catch (const std::exception&) {  // truncated, not MessagePack, or a field of another type
     return std::nullopt;
   }
 }
@@ -95,7 +95,7 @@
 }
 
 std::optional<std::vector<Record>> DecodeRecords(std::string_view bytes) {
-  return Decode<std::vector<Record>>(bytes, [](Members& in) {
+  return Decode<std::vector<Record>>(bytes, [](FieldReader& in) {
     std::vector<msgpack::object> rows;
     in.Get(rows);
     std::vector<Record> records;
@@ -106,7 +106,7 @@
 }
 
 std::optional<Job> DecodeJob(std::string_view bytes) {
-  return Decode<Job>(bytes, [](Members& in) {
+  return Decode<Job>(bytes, [](FieldReader& in) {
     Job j;
     in.Get(j.job_class).GetEnum(j.state, JobState::kFinished).Get(j.epoch).Get(j.holder).Get(j.until);
     in.GetEnum(j.outcome, Outcome::kFailed).Get(j.text).Get(j.error).Get(j.alias).Get(j.lane);
--- a/src/durable/codec.h
+++ b/src/durable/codec.h
@@ -1,5 +1,5 @@
-// Records and jobs as bytes, in MessagePack: arrays of a fixed order, each led by its form's number. What a
-// later form adds stands at the end; an older program refuses a form that it does not know.
+// Encodes records and jobs in MessagePack: arrays of a fixed order, each preceded by the format version. New
+// versions add fields at the end only; a program rejects versions that it does not know.
 #ifndef HERONWAY_DURABLE_CODEC_H_
 #define HERONWAY_DURABLE_CODEC_H_
 
@@ -16,7 +16,7 @@
 
 std::string Encode(const std::vector<Record>& records);
 std::string Encode(const Job& job);
-// Nothing where the bytes are not what they should be: cut, of another form, or out of range.
+// Null if the bytes are truncated, of another version or contain a value out of range.
 std::optional<std::vector<Record>> DecodeRecords(std::string_view bytes);
 std::optional<Job> DecodeJob(std::string_view bytes);
 
--- a/src/durable/job_commands.cpp
+++ b/src/durable/job_commands.cpp
@@ -15,7 +15,7 @@
 
 using Status = JobTable::Status;
 
-// A store as it stands now, whoever serves from it.
+// The contents of a store at this moment, whether or not a process serves from it.
 struct StoreSnapshot {
   explicit StoreSnapshot(const std::string& file)
       : store({file, {}, {}, 0}, SqliteStore::Mode::kInspect), table(store.class_rules()) {
@@ -37,9 +37,10 @@
   gmtime_r(&seconds, &t);
   char text[40];
   std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &t);
-  char whole[64];
-  std::snprintf(whole, sizeof whole, "%s.%03lldZ", text, static_cast<long long>(at / 1000 % 1000));
-  return whole;
+  char with_millis[64];
+  std::snprintf(with_millis, sizeof with_millis, "%s.%03lldZ", text,
+                static_cast<long long>(at / 1000 % 1000));
+  return with_millis;
 }
 
 Json::Value ToJson(const StoreSnapshot& snapshot, const std::string& id, const Job& job, bool with_text) {
@@ -70,7 +71,7 @@
   return Json::writeString(writer, value);
 }
 
-// Whether an order means anything for a job as it stands, and whether it has been taken.
+// Whether the command is allowed in the job's state, and whether it has taken effect.
 bool IsApplicable(const std::string& verb, const Job* job) {
   if (job == nullptr) return false;
   return verb == "retry" ? job->outcome == Outcome::kFailed : !job->leased();
@@ -106,7 +107,7 @@
     std::printf("and %d more (--most)\n", rows - options.max_rows);
   }
   if (!options.json) {
-    const auto count = [&snapshot](Status p) { return snapshot.table.Count(p); };
+    const auto count = [&snapshot](Status s) { return snapshot.table.Count(s); };
     std::printf("%zu waiting, %zu retrying, %zu held, %zu done, %zu failed\n", count(Status::kWaiting),
                 count(Status::kRetrying), count(Status::kLeased), count(Status::kDone),
                 count(Status::kFailed));
@@ -173,7 +174,7 @@
   std::printf("%s: %zu done, %zu not%s\n", verb.c_str(), done, ids.size() - done,
               done == ids.size() ? ""
               : verb == "retry"  ? " (no such job, or it has not failed)"
-                                 : " (no such job, or a worker has it)");
+                                 : " (no such job, or a worker holds it)");
   return done == ids.size() ? 0 : 1;
 }
 
@@ -186,21 +187,20 @@
 
 int VerifyStore(const std::string& file) {
   SqliteStore store({file, {}, {}, 0}, SqliteStore::Mode::kInspect);
-  const auto faults = store.Verify();
-  for (const auto& fault : faults) std::printf("%s\n", fault.c_str());
-  if (faults.empty()) std::printf("%s: nothing is wrong\n", file.c_str());
-  return faults.empty() ? 0 : 1;
+  const auto errors = store.Verify();
+  for (const auto& error : errors) std::printf("%s\n", error.c_str());
+  if (errors.empty()) std::printf("%s: no errors found\n", file.c_str());
+  return errors.empty() ? 0 : 1;
 }
 
 int SnapshotStore(const std::string& file, const std::string& to) {
   SqliteStore store({file, {}, {}, 0}, SqliteStore::Mode::kInspect);
   store.Snapshot(to);
   SqliteStore copy({to, {}, {}, 0}, SqliteStore::Mode::kInspect);
-  const auto faults = copy.Verify();
-  for (const auto& fault : faults) std::printf("%s\n", fault.c_str());
-  if (faults.empty())
-    std::printf("%s: a copy of %s, and nothing is wrong with it\n", to.c_str(), file.c_str());
-  return faults.empty() ? 0 : 1;
+  const auto errors = copy.Verify();
+  for (const auto& error : errors) std::printf("%s\n", error.c_str());
+  if (errors.empty()) std::printf("%s: a copy of %s, no errors found\n", to.c_str(), file.c_str());
+  return errors.empty() ? 0 : 1;
 }
 
 }  // namespace heronway::durable
--- a/src/durable/job_commands.h
+++ b/src/durable/job_commands.h
@@ -1,4 +1,5 @@
-// `heronway jobs`: looks into a store of durable jobs and leaves words for the program that serves from it.
+// The subcommands of `heronway jobs`: read a store of durable jobs and queue commands for the process that
+// serves from it.
 #ifndef HERONWAY_DURABLE_JOB_COMMANDS_H_
 #define HERONWAY_DURABLE_JOB_COMMANDS_H_
 
@@ -8,21 +9,21 @@
 namespace heronway::durable {
 
 struct ListOptions {
-  std::string state;      // waiting, retrying, held, done, failed; empty: all
+  std::string state;      // a name of JobTable::Status; empty: all
   std::string job_class;  // by name; empty: all
   std::string lane;
   int max_rows = 1000;  // rows
   bool json = false;
 };
 
-// Each prints on standard output and gives the exit status: 0 done; 1 nothing of that kind, or a fault found.
-// Throws StoreError where the store can't be used at all.
+// Each prints to standard output and returns the exit status: 0 on success; 1 if a job does not exist or does
+// not allow the command, or if a fault was found. Throws StoreError if the store cannot be used at all.
 int ListJobs(const std::string& file, const ListOptions& options);
 int ShowJob(const std::string& file, const std::string& id, bool json);
-// Takes effect at once, or, where a program serves from the store, when that has taken the order (it looks
-// four times a second). Waits for that up to two seconds and says what came of it.
+// Applies `verb` ("retry" or "discard") to the jobs. If a process serves from the store, the command is
+// queued for it; it polls four times a second. Waits up to two seconds for the result and prints it.
 int RunJobCommand(const std::string& file, const std::string& verb, const std::vector<std::string>& ids);
-// A JSON object a line, with the job as it was taken.
+// Prints one JSON object per line, with the payload or the result.
 int ExportJobs(const std::string& file);
 int VerifyStore(const std::string& file);
 int SnapshotStore(const std::string& file, const std::string& to);
--- a/src/durable/job_manager.cpp
+++ b/src/durable/job_manager.cpp
@@ -21,20 +21,21 @@
   return out;
 }
 
-// The one place through which the book changes: what is stored and what is in force can't differ.
+// The only function that changes the table, so that the table and the stored records cannot differ.
 void JobManager::ApplyRecord(const Record& record, Records& out) {
   const Job* job_before = table_.Find(record.id);
-  const bool held = job_before != nullptr &&
-                    (job_before->state == JobState::kLeased || job_before->state == JobState::kStarted);
-  const WorkerId holder = held ? job_before->holder.worker : 0;
+  const bool was_leased = job_before != nullptr &&
+                          (job_before->state == JobState::kLeased || job_before->state == JobState::kStarted);
+  const WorkerId holder = was_leased ? job_before->holder.worker : 0;
   if (!table_.Apply(record)) return;
   const Job* job = table_.Find(record.id);
-  const bool holds = job != nullptr && (job->state == JobState::kLeased || job->state == JobState::kStarted);
-  if (held && !holds) {
+  const bool is_leased =
+      job != nullptr && (job->state == JobState::kLeased || job->state == JobState::kStarted);
+  if (was_leased && !is_leased) {
     const auto it = jobs_by_worker_.find(holder);
     if (it != jobs_by_worker_.end() && it->second.erase(record.id) > 0 && it->second.empty())
       jobs_by_worker_.erase(it);
-  } else if (holds && !held) {
+  } else if (is_leased && !was_leased) {
     jobs_by_worker_[job->holder.worker].insert(record.id);
   }
   if (record.kind == RecordKind::kFinished)
@@ -48,7 +49,7 @@
   if (job == nullptr) store_ids_.erase(record.id);
 }
 
-// A job that waits and is not in hand stands in the backlog.
+// Queues the job in the backlog if it is waiting and not active.
 void JobManager::Reschedule(const std::string& id, Micros at) {
   const Job* job = table_.Find(id);
   if (job == nullptr || job->state != JobState::kWaiting || IsActive(id) ||
@@ -57,8 +58,8 @@
   backlog_.Schedule(id, job->job_class, job->priority, std::max(job->until, at));
 }
 
-// Faktory's: the fourth power of the failures so far, a quarter of a minute, and some chance that spreads a
-// crowd.
+// Faktory's backoff in seconds: the fourth power of the failures so far, plus 15, plus a random part that
+// spreads jobs which failed together.
 Micros JobManager::Backoff(int failures) {
   const double n = std::min(failures, 100);
   const double spread = static_cast<double>(random_(30)) * (n + 1);
@@ -67,8 +68,8 @@
 
 void JobManager::FinishRecovery(Micros now, Records& out) {
   if (const Micros newest = table_.last_time(); newest > now) {
-    // Guards every reckoning with times: they go on from the newest, and of what was before nobody knows how
-    // long ago it was.
+    // The clock has stepped back. Times continue from the newest record so that they never decrease; the age
+    // of everything before it is unknown.
     clock_offset_ = newest - now;
     ApplyRecord(table_.ClockSteppedBack(newest), out);
   }
@@ -85,18 +86,19 @@
   }
 }
 
-// ---- homes
 bool JobManager::Adopt(Micros now, int store_id, const std::string& id, Job job, Micros clock_stepped_at,
                        Records& out) {
   const Micros at = ToJobTime(now);
   const std::string* alias = table_.FindByAlias(job.alias);
   const std::string known_id = table_.Find(id) != nullptr ? id : alias != nullptr ? *alias : "";
   if (!known_id.empty()) {
-    // Its client came here while nobody looked after it. One of the two goes on: the one that may have run.
-    const Job& here = *table_.Find(known_id);
-    const bool idle = here.state == JobState::kWaiting && here.may_have_run_since < 0 && !IsActive(known_id);
-    const bool ran = job.state == JobState::kFinished || job.may_have_run_since >= 0;
-    if (!idle || !ran || StoreIdOf(known_id) == store_id) {
+    // The client submitted the job here again while its scheduler was unavailable. Of the two jobs, the one
+    // that may have run is kept.
+    const Job& existing = *table_.Find(known_id);
+    const bool idle =
+        existing.state == JobState::kWaiting && existing.may_have_run_since < 0 && !IsActive(known_id);
+    const bool may_have_run = job.state == JobState::kFinished || job.may_have_run_since >= 0;
+    if (!idle || !may_have_run || StoreIdOf(known_id) == store_id) {
       if (job.state == JobState::kFinished || StoreIdOf(known_id) == store_id) return false;
       Record failure;
       failure.kind = RecordKind::kFinished;
@@ -112,7 +114,7 @@
     if (const auto failure = table_.Discard(at, known_id)) ApplyRecord(*failure, out);
   }
   if (job.may_have_run_since >= 0 && job.may_have_run_since <= clock_stepped_at) job.may_have_run_since = 0;
-  const bool held = job.leased();
+  const bool was_leased = job.leased();
   const WorkerId holder = job.holder.worker;
   Record renewal;
   renewal.kind = RecordKind::kRenewed;
@@ -120,11 +122,11 @@
   renewal.at = at;
   renewal.epoch = job.epoch;
   renewal.until = std::max(std::min(job.until, at + settings_.lease), at + settings_.grace);
-  const bool open = job.state != JobState::kFinished;
+  const bool unfinished = job.state != JobState::kFinished;
   if (!table_.Restore(id, std::move(job))) return false;
   if (store_id != 0) store_ids_[id] = store_id;
-  counters_.recovered += open ? 1 : 0;
-  if (held) {
+  counters_.recovered += unfinished ? 1 : 0;
+  if (was_leased) {
     ++counters_.recovered_leased;
     jobs_by_worker_[holder].insert(id);
     ApplyRecord(renewal, out);
@@ -165,8 +167,8 @@
   closing_stores_.erase(store_id);
 }
 
-bool JobManager::Accept(Micros now, const std::string& id, JobSpec task, bool active, Records& out) {
-  auto record = table_.Accept(ToJobTime(now), id, std::move(task));
+bool JobManager::Accept(Micros now, const std::string& id, JobSpec spec, bool active, Records& out) {
+  auto record = table_.Accept(ToJobTime(now), id, std::move(spec));
   if (!record || !CanAccept()) return false;
   ApplyRecord(*record, out);
   ++counters_.accepted;
@@ -179,7 +181,7 @@
   while (static_cast<int>(active_.size()) < window_.size()) {
     auto id = backlog_.PopReady(ToJobTime(now));
     if (!id) return std::nullopt;
-    // Guards against a round that nobody may take: what may have run, and may not be repeated any more.
+    // The job may have run and may not run again: a dispatch could not lease it to any worker.
     if (!table_.CanStillRun(ToJobTime(now), *id)) {
       if (const auto failure =
               table_.FailWaiting(ToJobTime(now), *id, "it may have run and may not be repeated any more"))
@@ -204,32 +206,32 @@
   return record->epoch;
 }
 
-void JobManager::HopEnded(Micros now, const std::string& id, std::uint32_t epoch, HopResult end,
+void JobManager::HopEnded(Micros now, const std::string& id, std::uint32_t epoch, HopResult result,
                           Records& out) {
   const Job* job = table_.Find(id);
-  if (job == nullptr || epoch == 0 || epoch != job->epoch || !job->leased()) return;  // told already
-  // One that said that it started can't take that back.
-  const bool never_ran = end == HopResult::kNeverRan && job->state != JobState::kStarted;
+  if (job == nullptr || epoch == 0 || epoch != job->epoch || !job->leased()) return;  // reported already
+  // A worker that has reported the start cannot return the lease.
+  const bool never_ran = result == HopResult::kNeverRan && job->state != JobState::kStarted;
   const auto record =
       never_ran ? table_.ReturnLease(ToJobTime(now), id, epoch) : table_.LoseLease(ToJobTime(now), id, epoch);
   if (record) ApplyRecord(*record, out);
   Reschedule(id, 0);
 }
 
-void JobManager::DispatchEnded(Micros now, const std::string& id, DispatchResult end, Micros wait,
+void JobManager::DispatchEnded(Micros now, const std::string& id, DispatchResult result, Micros wait,
                                Records& out) {
   if (active_.erase(id) == 0) return;
-  if (end == DispatchResult::kServed) window_.OnServed();
-  if (end == DispatchResult::kShed) window_.OnShed(now);
+  if (result == DispatchResult::kServed) window_.OnServed();
+  if (result == DispatchResult::kShed) window_.OnShed(now);
   const Job* job = table_.Find(id);
   if (job == nullptr || job->state != JobState::kWaiting) return;
-  if (end == DispatchResult::kRejected) {
+  if (result == DispatchResult::kRejected) {
     if (const auto failure = table_.FailWaiting(ToJobTime(now), id, "a worker could not use it"))
       ApplyRecord(*failure, out);
     return;
   }
   Reschedule(id,
-             end == DispatchResult::kWithdrawn ? 0 : ToJobTime(now) + std::max(wait, kMinRedispatchDelay));
+             result == DispatchResult::kWithdrawn ? 0 : ToJobTime(now) + std::max(wait, kMinRedispatchDelay));
 }
 
 std::uint32_t JobManager::CurrentEpoch(const std::string& id, WorkerId worker) const {
@@ -248,7 +250,7 @@
       record = job->state == JobState::kStarted ? table_.Renew(at, id, epoch) : table_.Start(at, id, epoch);
       break;
     case WorkerReport::kRunning:
-      // A lease that has most of its time left needs no record.
+      // A lease with most of its time left is not renewed, which saves the record.
       if (job->leased() && epoch == job->epoch && job->until > at + settings_.lease * 3 / 4) return true;
       record = table_.Renew(at, id, epoch);
       break;
@@ -297,7 +299,8 @@
 void JobManager::ProcessDue(Micros now, Records& out, std::vector<std::string>& expired_active) {
   for (const Record& r : table_.DueRecords(ToJobTime(now), kMaxDuePerCall)) {
     if (IsActive(r.id) && table_.Find(r.id)->leased()) {
-      // Its hop is being called off. Guards against asking again at once, until the end of that is told.
+      // The caller cancels the hop. The renewal keeps the lease from being reported again until the hop has
+      // ended.
       Record renewal = r;
       renewal.kind = RecordKind::kRenewed;
       renewal.until = ToJobTime(now) + kCancelGrace;
--- a/src/durable/job_table.cpp
+++ b/src/durable/job_table.cpp
@@ -29,25 +29,24 @@
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-// ---- decisions
-std::optional<Record> JobTable::Accept(Micros now, const std::string& id, JobSpec task) const {
-  if (id.empty() || Find(id) != nullptr || task.job_class < 0 ||
-      task.job_class >= static_cast<int>(classes_.size()) || FindByAlias(task.alias) != nullptr)
+std::optional<Record> JobTable::Accept(Micros now, const std::string& id, JobSpec spec) const {
+  if (id.empty() || Find(id) != nullptr || spec.job_class < 0 ||
+      spec.job_class >= static_cast<int>(classes_.size()) || FindByAlias(spec.alias) != nullptr)
     return std::nullopt;
   Record r = MakeRecord(RecordKind::kAccepted, now, id, 0);
-  r.job_class = task.job_class;
-  r.text = std::move(task.text);
-  r.alias = std::move(task.alias);
-  r.lane = std::move(task.lane);
-  r.retries = task.retries;
-  r.priority = task.priority;
-  r.key = task.key;
-  r.until = task.not_before;
+  r.job_class = spec.job_class;
+  r.text = std::move(spec.text);
+  r.alias = std::move(spec.alias);
+  r.lane = std::move(spec.lane);
+  r.retries = spec.retries;
+  r.priority = spec.priority;
+  r.key = spec.key;
+  r.until = spec.not_before;
   return r;
 }
 
-// Whether any lease may follow. What has never run may always go on; of the rest, safe jobs may, keyed ones
-// while the workers still drop repeats, unsafe ones never.
+// Whether any further lease is allowed. Jobs that have not run may always be leased. Of those that may have
+// run, idempotent ones may, keyed ones while the workers still drop retries, at-most-once ones never.
 bool JobTable::CanLeaseAgain(const Job& job, Micros now) const {
   const ClassRules& c = ClassRulesOf(job);
   if (job.epoch >= static_cast<std::uint32_t>(c.max_leases)) return false;
@@ -61,7 +60,7 @@
   if (job == nullptr || job->state != JobState::kWaiting || !CanLeaseAgain(*job, now)) return false;
   const ClassRules& c = ClassRulesOf(*job);
   if (job->may_have_run_since < 0 || c.idempotency == Idempotency::kIdempotent) return true;
-  // Guards against a repeat that meets workers which know nothing of the first run.
+  // A worker outside the deduplication scope would not recognize the retry and run the job twice.
   return c.dedup_scope == DedupScope::kAll ||
          (c.dedup_scope == DedupScope::kZone && to.zone == job->first_holder.zone) ||
          (c.dedup_scope == DedupScope::kCell && to.cell == job->first_holder.cell &&
@@ -80,9 +79,9 @@
 std::optional<Record> JobTable::MakeHolderRecord(Micros now, const std::string& id, std::uint32_t epoch,
                                                  RecordKind kind) const {
   const Job* job = Find(id);
-  if (job == nullptr || epoch == 0 || epoch > job->epoch) return std::nullopt;  // never was a lease
-  const bool holds = IsLeased(*job) && epoch == job->epoch;
-  return MakeRecord(holds ? kind : RecordKind::kStale, now, id, epoch);
+  if (job == nullptr || epoch == 0 || epoch > job->epoch) return std::nullopt;  // no such lease
+  const bool is_holder = IsLeased(*job) && epoch == job->epoch;
+  return MakeRecord(is_holder ? kind : RecordKind::kStale, now, id, epoch);
 }
 
 std::optional<Record> JobTable::Start(Micros now, const std::string& id, std::uint32_t epoch) const {
@@ -92,7 +91,7 @@
   return r;
 }
 
-// A clock that steps back shortens no lease.
+// A clock that steps back does not shorten a lease.
 std::optional<Record> JobTable::Renew(Micros now, const std::string& id, std::uint32_t epoch) const {
   auto r = MakeHolderRecord(now, id, epoch, RecordKind::kRenewed);
   if (r && r->kind == RecordKind::kRenewed)
@@ -100,7 +99,7 @@
   return r;
 }
 
-// Word that it never ran counts from a holder that has not said that it started.
+// Not allowed once the holder has reported that it started the job.
 std::optional<Record> JobTable::ReturnLease(Micros now, const std::string& id, std::uint32_t epoch) const {
   const Job* job = Find(id);
   if (job != nullptr && job->state == JobState::kStarted && epoch == job->epoch) return std::nullopt;
@@ -112,7 +111,7 @@
   if (outcome == Outcome::kNone) return std::nullopt;
   auto r = MakeHolderRecord(now, id, epoch, RecordKind::kFinished);
   if (!r || r->kind != RecordKind::kFinished) return r;
-  // A failure that may be repeated is no answer yet.
+  // A failure of a job that may run again is not final.
   if (outcome == Outcome::kFailed && CanLeaseAgain(*Find(id), now)) {
     r->kind = RecordKind::kExpired;
     return r;
@@ -129,16 +128,16 @@
   return r;
 }
 
-std::optional<Record> JobTable::Fail(Micros now, const std::string& id, std::uint32_t epoch, std::string why,
-                                     Micros backoff) const {
+std::optional<Record> JobTable::Fail(Micros now, const std::string& id, std::uint32_t epoch,
+                                     std::string error, Micros backoff) const {
   auto r = MakeHolderRecord(now, id, epoch, RecordKind::kRetry);
   if (!r || r->kind != RecordKind::kRetry) return r;
   const Job& job = *Find(id);
   if (job.failures >= job.retries || !CanLeaseAgain(job, now))
-    return MakeFailure(now, id, epoch, std::move(why));
-  // Guards a keyed job's only chance: past the window nobody may have it any more.
+    return MakeFailure(now, id, epoch, std::move(error));
+  // A keyed job cannot be leased once its key has expired, so it is then retried without the backoff.
   r->until = CanLeaseAgain(job, now + backoff) ? now + backoff : now;
-  r->text = std::move(why);
+  r->text = std::move(error);
   return r;
 }
 
@@ -159,23 +158,24 @@
   return MakeRecord(RecordKind::kClockSteppedBack, last_time, {}, 0);
 }
 
-Record JobTable::MakeFailure(Micros now, const std::string& id, std::uint32_t epoch, std::string why) const {
+Record JobTable::MakeFailure(Micros now, const std::string& id, std::uint32_t epoch,
+                             std::string error) const {
   Record r = MakeRecord(RecordKind::kFinished, now, id, epoch);
   r.outcome = Outcome::kFailed;
-  r.text = std::move(why);
+  r.text = std::move(error);
   return r;
 }
 
-std::optional<Record> JobTable::FailWaiting(Micros now, const std::string& id, std::string why) const {
+std::optional<Record> JobTable::FailWaiting(Micros now, const std::string& id, std::string error) const {
   const Job* job = Find(id);
   if (job == nullptr || job->state != JobState::kWaiting) return std::nullopt;
-  return MakeFailure(now, id, job->epoch, std::move(why));
+  return MakeFailure(now, id, job->epoch, std::move(error));
 }
 
-std::vector<Record> JobTable::DueRecords(Micros now, std::size_t most) const {
+std::vector<Record> JobTable::DueRecords(Micros now, std::size_t max) const {
   std::vector<Record> out;
   for (const auto& [until, id] : due_) {
-    if (until > now || out.size() >= most) break;
+    if (until > now || out.size() >= max) break;
     const Job& job = *Find(id);
     if (job.state == JobState::kFinished) {
       out.push_back(MakeRecord(RecordKind::kPurged, now, id, job.epoch));
@@ -198,28 +198,27 @@
   return out;
 }
 
-// ---- state
 JobTable::Status JobTable::StatusOf(const Job& job) {
   if (job.leased()) return Status::kLeased;
   if (job.state == JobState::kWaiting) return job.failures == 0 ? Status::kWaiting : Status::kRetrying;
   return job.outcome == Outcome::kDone ? Status::kDone : Status::kFailed;
 }
 
-const char* JobTable::StatusName(Status place) {
+const char* JobTable::StatusName(Status status) {
   constexpr const char* kNames[] = {"waiting", "retrying", "held", "done", "failed"};
-  return kNames[static_cast<std::size_t>(place)];
+  return kNames[static_cast<std::size_t>(status)];
 }
 
 void JobTable::Count(const Job& job, int by) {
-  const Status place = StatusOf(job);
-  counts_[static_cast<std::size_t>(place)] += static_cast<std::size_t>(by);
+  const Status status = StatusOf(job);
+  counts_[static_cast<std::size_t>(status)] += static_cast<std::size_t>(by);
   if (job.state != JobState::kWaiting) return;
   const auto lane = waiting_per_lane_.try_emplace(job.lane).first;
   lane->second += static_cast<std::size_t>(by);
   if (lane->second == 0) waiting_per_lane_.erase(lane);
 }
 
-// A waiting job's time is not due here: who brings waiting jobs to workers looks at it.
+// `until` of a waiting job is not tracked in due_: JobManager schedules waiting jobs.
 void JobTable::SetUntil(const std::string& id, Job& job, Micros until) {
   due_.erase({job.until, id});
   job.until = until;
@@ -290,7 +289,8 @@
       job.state = JobState::kLeased;
       job.epoch = r.epoch;
       job.holder = r.holder;
-      // From here it may run without a word: that it never did is known only where somebody says so.
+      // From here on the job may run without any report. That it never ran is known only if the holder says
+      // so.
       if (job.may_have_run_since < 0) {
         job.may_have_run_since = r.at;
         job.first_holder = r.holder;
@@ -306,7 +306,7 @@
     case RecordKind::kExpired:
     case RecordKind::kRetry:
       if (r.kind == RecordKind::kReturned) {
-        // Only where this was the one lease that may have run is it known not to have run at all.
+        // The job has not run at all only if no earlier lease may have run it.
         if (!job.may_have_run_before) job.may_have_run_since = -1;
       } else {
         job.may_have_run_before = true;
@@ -349,9 +349,9 @@
   return true;
 }
 
-// Whether a record can come next in this job's life.
+// Whether the record is a valid next transition of the job.
 bool JobTable::IsValidNext(const Job& job, const Record& r) const {
-  const bool holder = IsLeased(job) && r.epoch == job.epoch;
+  const bool current = IsLeased(job) && r.epoch == job.epoch;
   switch (r.kind) {
     case RecordKind::kLeased:
       return job.state == JobState::kWaiting && r.epoch == job.epoch + 1;
@@ -359,12 +359,12 @@
     case RecordKind::kRenewed:
     case RecordKind::kExpired:
     case RecordKind::kRetry:
-      return holder;
+      return current;
     case RecordKind::kReturned:
-      return holder && job.state != JobState::kStarted;
+      return current && job.state != JobState::kStarted;
     case RecordKind::kFinished:
       return job.state != JobState::kFinished && r.outcome != Outcome::kNone &&
-             (IsLeased(job) ? holder : r.epoch == job.epoch);
+             (IsLeased(job) ? current : r.epoch == job.epoch);
     case RecordKind::kPurged:
       return job.state == JobState::kFinished;
     case RecordKind::kRequeued:
--- a/src/durable/job_table.h
+++ b/src/durable/job_table.h
@@ -1,20 +1,20 @@
-// The life of a durable job, as records: what may follow what, who holds it, and what a lapsed lease leads
-// to.
+// State machine of durable jobs, as records: which transition may follow which, which worker holds the lease
+// of a job, and what an expired lease leads to.
 //
-// No I/O, no clock. A transition is decided here, stored by the caller, and applied when it is stored; the
-// book that the same records make is the same. Terms: a *lease* is a worker's hold on a job until a time;
-// its *epoch* numbers the leases of one job, and is what tells an answer of the present holder from a late
+// Does no I/O and reads no clock. A transition is decided here, stored by the caller and then applied;
+// replaying the same records gives the same table. A *lease* assigns a job to a worker until a given time.
+// Its *epoch* numbers the leases of one job, and distinguishes a report of the current holder from a stale
 // one.
 //
-//   waiting --Lease--> leased --Started--> started --Answer--> answered --Forget--> (gone)
-//    ^  ^                |  |                 |                   ^  |
-//    |  |---GiveBack-----'  |                 |                   |  |
-//    |  '---Lapse, Retry (may be repeated)----'---Lapse (may not)-'  |
-//    '------Revive, an operator's word-------------------------------'
+//   waiting --Lease--> leased --Start--> started --Finish--> finished --purge--> (removed)
+//    ^  ^                |  |               |                   ^  |
+//    |  |--ReturnLease---'  |               |                   |  |
+//    |  '--expiry, Fail (if it may run again)---expiry (if not)-'  |
+//    '-----Requeue, on an operator's command-----------------------'
 //
-// Invariants, each checked over every order of events in tests/durable: one answer a job; one holder at a
-// time; what may have run is leased again only as its class allows; an answer with an old epoch changes
-// nothing.
+// Invariants, each checked over all orders of events in tests/durable: a job has one result; it has one
+// holder at a time; a job that may have run is leased again only as its class allows; a result with an old
+// epoch changes nothing.
 #ifndef HERONWAY_DURABLE_JOB_TABLE_H_
 #define HERONWAY_DURABLE_JOB_TABLE_H_
 
@@ -36,7 +36,7 @@
 using pebblenotch::Micros;
 using WorkerId = std::uint64_t;
 
-// Where a worker stands, for classes whose repeats must meet the same group of workers.
+// The worker that holds a lease, and its location, for classes whose retries must stay in its zone or cell.
 struct LeaseHolder {
   WorkerId worker = 0;
   int zone = 0, cell = 0;
@@ -46,10 +46,11 @@
 struct ClassRules {
   Idempotency idempotency = Idempotency::kAtMostOnce;
   DedupScope dedup_scope = DedupScope::kAll;
-  Micros key_ttl = 0;        // from the first lease that may have run, workers drop a keyed job's repeats
-  Micros lease = 1'000'000;  // that a worker has from its last sign of life; over a stall of 240 ms by far
-  Micros keep_finished = 3'600'000'000;  // that an answer is kept for those who come for it again
-  Micros keep_failed = 3'600'000'000;    // that a failed job is kept, with what it was
+  Micros key_ttl = 0;  // workers drop retries of a keyed job for this time, from its first lease on
+  // Duration of a lease from the worker's last sign of life. Far longer than a stall of 240 ms.
+  Micros lease = 1'000'000;
+  Micros keep_finished = 3'600'000'000;  // retention of results, for clients that ask again
+  Micros keep_failed = 3'600'000'000;    // retention of failed jobs and their payloads
   int max_leases = 3;
 };
 
@@ -60,35 +61,36 @@
   kLeased,
   kStarted,
   kRenewed,
-  kReturned,  // the holder never ran it
-  kExpired,   // the lease ran out, and the job may be leased again
+  kReturned,  // the holder reports that it never ran the job
+  kExpired,   // the lease is lost or has run out, and the job may be leased again
   kFinished,
-  kStale,            // somebody who does not hold it any more said something: told, and nothing changes
-  kPurged,           // its answer was kept long enough
-  kRetry,            // the holder failed it, and it may be leased again from `until` on
-  kRequeued,         // an operator takes an answered job on again, whatever it did before
-  kDiscarded,        // an operator ends a job that nobody holds
-  kClockSteppedBack  // the clock stepped back while nobody looked: how long ago things were is not known any more
+  kStale,             // report of a worker that holds the lease no longer; changes nothing
+  kPurged,            // the retention of the result is over
+  kRetry,             // the holder failed the job, which may be leased again from `until` on
+  kRequeued,          // an operator queues a failed job again, whether or not it may have run
+  kDiscarded,         // an operator removes a job that nobody holds
+  kClockSteppedBack,  // the clock stepped back between two runs: the age of earlier times is unknown
 };
 
-// One transition, as it is stored.
+// One stored transition. The comments name the kinds that use a field.
 struct Record {
   RecordKind kind = RecordKind::kAccepted;
   std::string id;
   Micros at = 0;
-  int job_class = 0;        // taken
+  int job_class = 0;        // accepted
   std::uint32_t epoch = 0;  // all that concern a lease; the first is 1
   LeaseHolder holder;       // leased
-  Micros until = 0;         // taken, retry: not to be leased before; leased, renewed: the lease's end
-  Outcome outcome = Outcome::kNone;
-  std::string text;  // taken: the job; answered: its result, or why it failed
-  // Taken only.
-  std::string alias;      // another name by which clients ask for it; empty: none
-  std::string lane;       // the queue that it is fetched from
-  int retries = 0;        // failures that it is given another try after; -1: it is forgotten with the first
-  std::uint64_t key = 0;  // as the module has it
-  int priority = 0;       // among waiting ones of its class
-  int store_id = 0;       // whose store it goes to, see Keeper; not itself stored
+  Micros until = 0;  // accepted, retry: earliest next lease; leased, started, renewed: end of the lease
+  Outcome outcome = Outcome::kNone;  // finished
+  std::string text;  // accepted: the payload; finished: the result or the error; retry: the error
+  // Accepted only.
+  std::string alias;      // second name by which clients look the job up; empty: none
+  std::string lane;       // the queue that workers fetch it from
+  int retries = 0;        // failures that are retried; -1: none, and the failed job is purged at once
+  std::uint64_t key = 0;  // deduplication key, as the decision module has it
+  int priority = 0;       // within its class, higher first
+  // For all kinds. Selects the store that the record is written to, see JobManager; not part of the record.
+  int store_id = 0;
   bool operator==(const Record&) const = default;
 };
 
@@ -97,29 +99,30 @@
   JobState state = JobState::kWaiting;
   std::uint32_t epoch = 0;  // of the last lease
   LeaseHolder holder;
-  Micros until = 0;  // waiting: not before; the lease; answered: when it is forgotten
+  Micros until =
+      0;  // waiting: earliest lease; leased, started: end of the lease; finished: time of the purge
   Outcome outcome = Outcome::kNone;
-  std::string text;   // the job, then its result; of a failed one still the job
-  std::string error;  // failed: what was said of it last
+  std::string text;   // the payload; replaced by the result once the job is done
+  std::string error;  // of the last failure
   std::string alias, lane;
   int retries = 0, failures = 0, priority = 0;
   std::uint64_t key = 0;
-  Micros accepted_at = 0, updated_at = 0;  // when it was taken, and when something of it was recorded last
-  // What may have run: none, or when the first such lease began and with whom.
+  Micros accepted_at = 0, updated_at = 0;  // updated_at: time of the last record
+  // Start of the first lease under which the job may have run, and its holder; -1: it has not run.
   Micros may_have_run_since = -1;
   LeaseHolder first_holder;
-  bool may_have_run_before = false;  // a lease before the present one may have run
+  bool may_have_run_before = false;  // under a lease before the current one
   bool leased() const { return state == JobState::kLeased || state == JobState::kStarted; }
   bool operator==(const Job&) const = default;
 };
 
-// A word of an operator's tool to the program that serves from the store.
+// A command of an operator's tool to the process that serves from the store.
 struct OperatorCommand {
   std::int64_t number = 0;
-  std::string verb, id;  // retry, discard
+  std::string verb, id;  // verb: "retry" or "discard"
 };
 
-// What a job is taken with.
+// Properties of a job to accept; see Record.
 struct JobSpec {
   int job_class = 0;
   std::string text, alias, lane;
@@ -134,70 +137,69 @@
 
   explicit JobTable(std::vector<ClassRules> classes) : classes_(std::move(classes)) {}
 
-  // ---- decisions: the record to store, nothing where the transition is not allowed. They change nothing.
-  // A job that is known already, by its id or its alias, is joined, not taken: see Find, IdOf.
-  std::optional<Record> Accept(Micros now, const std::string& id, JobSpec task) const;
-  // Whether this worker may have it now, given what earlier leases may have done.
+  // Decisions. Each returns the record to store, or null if the transition is not allowed, and changes
+  // nothing.
+
+  // Null for a job that is known already by its id or alias; callers attach to that one, see Find and
+  // FindByAlias.
+  std::optional<Record> Accept(Micros now, const std::string& id, JobSpec spec) const;
+  // Whether the job may be leased to this worker now, given that it may have run under earlier leases.
   bool CanLease(Micros now, const std::string& id, const LeaseHolder& to) const;
-  // Whether some worker may, now.
+  // Whether the job may be leased to any worker now.
   bool CanStillRun(Micros now, const std::string& id) const {
     const Job* job = Find(id);
     return job != nullptr && job->state == JobState::kWaiting && CanLeaseAgain(*job, now);
   }
   std::optional<Record> Lease(Micros now, const std::string& id, const LeaseHolder& to) const;
-  // Word of a holder. With an old epoch, or after the end, it is recorded as late.
+  // Reports of a worker. With an old epoch, or after the job has finished, they give a kStale record.
   std::optional<Record> Start(Micros now, const std::string& id, std::uint32_t epoch) const;
   std::optional<Record> Renew(Micros now, const std::string& id, std::uint32_t epoch) const;
   std::optional<Record> ReturnLease(Micros now, const std::string& id, std::uint32_t epoch) const;
   std::optional<Record> Finish(Micros now, const std::string& id, std::uint32_t epoch, Outcome outcome,
                                std::string result) const;
-  // The holder is gone without a word: the job waits again where it may be repeated, and has failed where
-  // not.
+  // The holder is lost without a report: the job waits again if it may run again, and has failed otherwise.
   std::optional<Record> LoseLease(Micros now, const std::string& id, std::uint32_t epoch) const;
-  // The holder says that it failed. Where it has tries left and may be repeated then, it waits for `backoff`;
-  // a keyed one whose workers would have forgotten it by then, not at all.
-  std::optional<Record> Fail(Micros now, const std::string& id, std::uint32_t epoch, std::string why,
+  // The holder reports a failure. If retries are left and the job may run again, it waits for `backoff`. A
+  // keyed job whose key would expire by then does not wait.
+  std::optional<Record> Fail(Micros now, const std::string& id, std::uint32_t epoch, std::string error,
                              Micros backoff) const;
-  // An operator's word: a failed job is taken on again, and a job that nobody holds is ended for good.
+  // Operators' commands: queue a failed job again, and remove a job that nobody holds.
   std::optional<Record> Requeue(Micros now, const std::string& id) const;
   std::optional<Record> Discard(Micros now, const std::string& id) const;
-  // A job that no worker may have any more, though it waits: it is failed, and told so.
-  std::optional<Record> FailWaiting(Micros now, const std::string& id, std::string why = {}) const;
-  // The clock stood at `newest` once and is behind it: nobody knows how long ago anything before was.
+  // Fails a waiting job.
+  std::optional<Record> FailWaiting(Micros now, const std::string& id, std::string error = {}) const;
+  // The clock is behind `last_time`, which it had reached before: the age of earlier times is unknown.
   Record ClockSteppedBack(Micros last_time) const;
-  // Leases that have run out, and answers that are kept no longer, up to `most`.
-  std::vector<Record> DueRecords(Micros now, std::size_t most) const;
-  // After a crash: whoever held a lease then may be at work still, and has until `now + grace` at least to
-  // say so. Leases that are long past are not let lapse before.
+  // Records for expired leases and for results past their retention, at most `max`.
+  std::vector<Record> DueRecords(Micros now, std::size_t max) const;
+  // After a restart: renews all leases to at least `now + grace`, also expired ones, since their holders may
+  // still be running the jobs and need time to report.
   std::vector<Record> Recover(Micros now, Micros grace) const;
 
-  // ---- state
-  // Takes a record that is stored. False, and nothing changes, where it can't follow what is there: a store
-  // that gives such a record is damaged, or of another program.
+  // State.
+
+  // Applies a record. Returns false, and changes nothing, if it is not a valid next transition: a store that
+  // contains such a record is corrupt or was written by another program.
   bool Apply(const Record& record);
-  // Takes a job as it stood. False, and nothing changes, where that can't be.
+  // Adds a job in its stored state. Returns false, and changes nothing, if it is invalid or exists already.
   bool Restore(const std::string& id, Job job);
-  // It is somebody else's from here on: gone here, and nothing is recorded.
+  // Removes a job without a record, as another scheduler serves it from now on.
   void Remove(const std::string& id);
   const Job* Find(const std::string& id) const;
   const std::map<std::string, Job>& jobs() const { return jobs_; }
+  // The id of the job with this alias; null: none.
   const std::string* FindByAlias(const std::string& alias) const;
-  enum class Status : std::uint8_t {
-    kWaiting,
-    kRetrying,
-    kLeased,
-    kDone,
-    kFailed
-  };  // retrying: it failed once
+  // A job's status as operators see it; kRetrying: it waits and has failed at least once.
+  enum class Status : std::uint8_t { kWaiting, kRetrying, kLeased, kDone, kFailed };
   static Status StatusOf(const Job& job);
-  static const char* StatusName(Status place);
-  std::size_t Count(Status place) const { return counts_[static_cast<std::size_t>(place)]; }
-  std::size_t unfinished() const {  // that have no answer yet
+  static const char* StatusName(Status status);
+  std::size_t Count(Status status) const { return counts_[static_cast<std::size_t>(status)]; }
+  std::size_t unfinished() const {  // jobs without a result
     return Count(Status::kWaiting) + Count(Status::kRetrying) + Count(Status::kLeased);
   }
-  // How many wait in each lane.
+  // Number of waiting jobs by lane.
   const std::map<std::string, std::size_t>& waiting_per_lane() const { return waiting_per_lane_; }
-  Micros last_time() const { return last_time_; }  // the time of the last record; 0: none
+  Micros last_time() const { return last_time_; }  // latest time of any record; 0: none
   Micros next_due() const { return due_.empty() ? 0 : due_.begin()->first; }  // 0: nothing is due
   Micros clock_stepped_at() const { return clock_stepped_at_; }
   void set_clock_stepped_at(Micros at) { clock_stepped_at_ = std::max(clock_stepped_at_, at); }
@@ -212,7 +214,7 @@
   std::optional<Record> MakeHolderRecord(Micros now, const std::string& id, std::uint32_t epoch,
                                          RecordKind kind) const;
   bool CanLeaseAgain(const Job& job, Micros now) const;
-  Record MakeFailure(Micros now, const std::string& id, std::uint32_t epoch, std::string why) const;
+  Record MakeFailure(Micros now, const std::string& id, std::uint32_t epoch, std::string error) const;
   void Count(const Job& job, int by);
   bool IsValidNext(const Job& job, const Record& record) const;
   void SetUntil(const std::string& id, Job& job, Micros until);
@@ -220,8 +222,8 @@
 
   std::vector<ClassRules> classes_;
   std::map<std::string, Job> jobs_;
-  std::set<std::pair<Micros, std::string>> due_;  // leases by their end, answers by when they are forgotten
-  std::map<std::string, std::string> aliases_;    // to ids
+  std::set<std::pair<Micros, std::string>> due_;  // `until` of leased and finished jobs, with their ids
+  std::map<std::string, std::string> aliases_;    // alias to id
   std::array<std::size_t, 5> counts_{};
   std::map<std::string, std::size_t> waiting_per_lane_;
   Micros last_time_ = 0, clock_stepped_at_ = 0;
--- a/src/durable/open_store.cpp
+++ b/src/durable/open_store.cpp
@@ -19,7 +19,7 @@
     const auto at = std::find(class_names.begin(), class_names.end(), class_name);
     if (at == class_names.end())
       throw StoreError(StoreError::Kind::kOther,
-                       "durable.keep_class_ms." + class_name + " names no class of the site");
+                       "durable.keep_class_ms." + class_name + ": the site has no class of this name");
     classes[static_cast<std::size_t>(at - class_names.begin())].keep_finished = keep_finished;
   }
   OpenedStore out;
@@ -31,7 +31,8 @@
   out.recovered_pages = store->recovered_pages();
   out.dropped_bytes = store->dropped_bytes();
   out.replicated = settings.replicate != nullptr;
-  // Guards copies that are switched off and on again: what is written meanwhile is in no log.
+  // Without replication the store diverges from its replicated log. Clearing the position prevents the log
+  // from being applied to it if replication is enabled again.
   if (!out.replicated) store->ClearApplied();
   out.store = out.replicated ? settings.replicate(name, std::move(store)) : std::move(store);
   out.store->Read(
--- a/src/durable/open_store.h
+++ b/src/durable/open_store.h
@@ -1,4 +1,4 @@
-// A front's store, opened and read: what a start with durable jobs begins with.
+// Opens a front's store at startup and loads its jobs into a new job manager.
 #ifndef HERONWAY_DURABLE_OPEN_STORE_H_
 #define HERONWAY_DURABLE_OPEN_STORE_H_
 
@@ -14,13 +14,13 @@
 struct OpenedStore {
   std::unique_ptr<Store> store;
   std::unique_ptr<JobManager> job_manager;
-  bool replicated = false;  // stored means: on a majority of the copies
-  std::uint64_t recovered_pages = 0,
-                dropped_bytes = 0;  // pages and bytes of the log that a crash left, as SqliteStore has
+  bool replicated = false;  // a record counts as stored once a majority of the replicas has it
+  // What a crash left in the write-ahead log; see SqliteStore.
+  std::uint64_t recovered_pages = 0, dropped_bytes = 0;
 };
 
-// The store of the front with this name: FOLDER/NAME.db. Nothing where durable jobs are off. Throws
-// StoreError that names the file, and the place in it, at fault; nothing is changed then.
+// Opens FOLDER/NAME.db, the store of the front `name`. The result is empty if durable jobs are disabled.
+// Throws StoreError that names the file and the place at fault; the stored data is then unchanged.
 OpenedStore OpenStore(const Settings& settings, const std::string& name,
                       const std::vector<std::string>& class_names, const pebblenotch::Settings& site,
                       std::uint64_t seed);
--- a/src/durable/sqlite_store.cpp
+++ b/src/durable/sqlite_store.cpp
@@ -22,10 +22,10 @@
 
 constexpr int kPageBytes = 4096;
 constexpr std::uint64_t kWalHeaderBytes = 32,
-                        kWalFrameHeaderBytes = 24;  // of SQLite's log, and of each page in it
-constexpr int kBusyTimeoutMs = 5'000;               // that another's write is waited for
+                        kWalFrameHeaderBytes = 24;  // of SQLite's write-ahead log and of each page in it
+constexpr int kBusyTimeoutMs = 5'000;               // for the write of another process
 
-// One step from each version to the next; a store of version n gets those from n on.
+// Step n upgrades a store from schema version n to n + 1.
 constexpr const char* kSchemaSteps[SqliteStore::kSchemaVersion] = {
     "CREATE TABLE meta(name TEXT PRIMARY KEY, value) WITHOUT ROWID;"
     "CREATE TABLE journal(number INTEGER PRIMARY KEY, sum INTEGER, body BLOB);"
@@ -98,7 +98,7 @@
   }
 };
 
-// Every fault that SQLite tells, as one of the store's, with the file's name and what was being done.
+// Converts SQLite's exceptions to StoreError, with the file's name and the operation in the message.
 template <typename F>
 auto SqliteStore::TranslateErrors(const char* operation, F f) const {
   try {
@@ -113,9 +113,9 @@
   if (mode == Mode::kServe) {
     impl_->lock = Lock(settings_.file);
     if (impl_->lock == -2)
-      throw StoreError(StoreError::Kind::kBusy, settings_.file + ": another program serves from it");
+      throw StoreError(StoreError::Kind::kBusy, settings_.file + ": another process serves from it");
     if (impl_->lock == -1)
-      throw StoreError(StoreError::Kind::kDenied, settings_.file + ".lock: cannot be made");
+      throw StoreError(StoreError::Kind::kDenied, settings_.file + ".lock: cannot create the lock file");
   }
   TranslateErrors("opening", [&] { Open(mode); });
 }
@@ -133,10 +133,10 @@
   SQLite::Database& db = *impl_->db;
   db.exec("PRAGMA journal_mode=WAL");
   db.exec("PRAGMA synchronous=FULL");
-  // Checkpoints are the longest pauses: fewer of them, for a log of 16 MiB.
+  // Checkpoints cause the longest pauses. A larger log (16 MiB) makes them less frequent.
   db.exec("PRAGMA wal_autocheckpoint=4096");
   if (mode == Mode::kServe) {
-    // SQLite takes from its log what whole commits left there, by its checksums, and passes over the rest.
+    // SQLite recovers the complete commits from its log by their checksums, and ignores the rest.
     if (wal_bytes > 0) {
       SQLite::Statement checkpoint(db, "PRAGMA wal_checkpoint(PASSIVE)");
       if (checkpoint.executeStep())
@@ -145,7 +145,7 @@
           recovered_pages_ > 0 ? kWalHeaderBytes + recovered_pages_ * (kPageBytes + kWalFrameHeaderBytes) : 0;
       dropped_bytes_ = wal_bytes > valid_bytes ? wal_bytes - valid_bytes : 0;
     }
-    // Guards the disk: over the bound a write fails as on a full one, and nothing is lost by it.
+    // Above the size limit a write fails as on a full disk, without loss of stored data.
     if (settings_.max_bytes > 0)
       db.exec("PRAGMA max_page_count=" +
               std::to_string(std::max<std::uint64_t>(64, settings_.max_bytes / kPageBytes)));
@@ -153,9 +153,9 @@
   }
   const int version = db.execAndGet("PRAGMA user_version").getInt();
   if (version != kSchemaVersion) {
-    throw StoreError(StoreError::Kind::kCorrupt, settings_.file + ": it has version " +
-                                                     std::to_string(version) + ", this program " +
-                                                     std::to_string(kSchemaVersion));
+    throw StoreError(StoreError::Kind::kCorrupt,
+                     settings_.file + ": schema version " + std::to_string(version) +
+                         ", but this program needs version " + std::to_string(kSchemaVersion));
   }
   CheckClassNames(mode);
   first_row_ = db.execAndGet("SELECT ifnull(min(number), 1) FROM journal").getInt64();
@@ -173,7 +173,7 @@
   }
 }
 
-// Jobs name their class by its number. Guards them against a configuration whose numbers mean others.
+// Jobs refer to their class by its number, so the configuration must keep the numbers of the stored classes.
 void SqliteStore::CheckClassNames(Mode mode) {
   SQLite::Statement read(*impl_->db, "SELECT value FROM meta WHERE name='classes'");
   const std::vector<std::string> stored_names =
@@ -185,10 +185,10 @@
   }
   if (stored_names.size() > settings_.class_names.size() ||
       !std::equal(stored_names.begin(), stored_names.end(), settings_.class_names.begin())) {
-    throw StoreError(StoreError::Kind::kCorrupt, settings_.file + ": its jobs are of the classes " +
+    throw StoreError(StoreError::Kind::kCorrupt, settings_.file + ": its jobs have the classes " +
                                                      Join(stored_names) + "; the configuration has " +
                                                      Join(settings_.class_names) +
-                                                     ", and may only add to their end");
+                                                     "; new classes may only be added at the end");
   }
   if (mode != Mode::kServe || stored_names.size() == settings_.class_names.size()) return;
   SQLite::Statement write(*impl_->db, "INSERT OR REPLACE INTO meta VALUES('classes', ?)");
@@ -244,7 +244,7 @@
 void SqliteStore::ReplaceContents(Micros clock_stepped_at,
                                   const std::vector<std::pair<std::string, Job>>& jobs,
                                   const Applied& applied) {
-  TranslateErrors("filling", [&] {
+  TranslateErrors("replacing the contents", [&] {
     SQLite::Database& db = *impl_->db;
     SQLite::Transaction transaction(db);
     db.exec("DELETE FROM journal");
@@ -276,7 +276,7 @@
   };
   TranslateErrors("reading", [&] {
     SQLite::Database& db = *impl_->db;
-    SQLite::Transaction read_transaction(db);  // however much is written meanwhile
+    SQLite::Transaction read_transaction(db);  // one consistent state, whatever is written meanwhile
     SQLite::Statement clock(db, "SELECT value FROM meta WHERE name='clock_broke'");
     if (clock.executeStep() && reader.clock) reader.clock(clock.getColumn(0).getInt64());
     SQLite::Statement at(db, "SELECT value FROM meta WHERE name='applied'");
@@ -289,34 +289,35 @@
     while (jobs.executeStep()) {
       const std::string id = jobs.getColumn(0).getString(), place = "job " + id;
       const std::string_view body = BlobAt(jobs, 2);
-      if (Checksum(body) != jobs.getColumn(1).getInt64()) throw corrupt(place, "the sum does not match");
+      if (Checksum(body) != jobs.getColumn(1).getInt64()) throw corrupt(place, "checksum mismatch");
       auto job = DecodeJob(body);
-      if (!job) throw corrupt(place, "it cannot be read");
-      if (!reader.job(id, std::move(*job))) throw corrupt(place, "it cannot be as it is");
+      if (!job) throw corrupt(place, "cannot decode it");
+      if (!reader.job(id, std::move(*job))) throw corrupt(place, "invalid job");
     }
     SQLite::Statement journal(db, "SELECT number, sum, body FROM journal ORDER BY number");
     while (journal.executeStep()) {
       const std::string place = "journal row " + std::to_string(journal.getColumn(0).getInt64());
       const std::string_view body = BlobAt(journal, 2);
-      if (Checksum(body) != journal.getColumn(1).getInt64()) throw corrupt(place, "the sum does not match");
+      if (Checksum(body) != journal.getColumn(1).getInt64()) throw corrupt(place, "checksum mismatch");
       const auto records = DecodeRecords(body);
-      if (!records) throw corrupt(place, "it cannot be read");
+      if (!records) throw corrupt(place, "cannot decode it");
       for (const Record& r : *records) {
-        if (!reader.record(r)) throw corrupt(place, "a record cannot follow what is there");
+        if (!reader.record(r)) throw corrupt(place, "invalid record sequence");
       }
     }
   });
 }
 
-// The journal's first rows and the jobs that they concern make a small book; what it holds then replaces
-// them.
+// Loads the jobs that the journal's oldest rows concern into a table, applies these rows, and writes the
+// result back in their place.
 std::size_t SqliteStore::Compact(std::size_t max_records, std::size_t keep_rows) {
-  return TranslateErrors("folding", [&]() -> std::size_t {
-    // Rows go from the front alone, so that their numbers tell how many there are.
+  return TranslateErrors("compacting", [&]() -> std::size_t {
+    // Rows are deleted only from the front, so the row numbers give their count.
     const auto rows = static_cast<std::size_t>(next_row_ - first_row_);
     if (rows <= keep_rows) return 0;
     SQLite::Database& db = *impl_->db;
-    // A fold that a crash undoes is made again: it needs no sync of its own, and the next commit's covers it.
+    // A compaction that a crash undoes is repeated, so it needs no sync of its own; the next commit's covers
+    // it.
     db.exec("PRAGMA synchronous=NORMAL");
     struct RestoreSync {
       SQLite::Database& db;
@@ -324,7 +325,7 @@
     } restore_sync{db};
     SQLite::Transaction transaction(db);
     JobTable table(settings_.class_rules);
-    std::map<std::string, bool> in_jobs_table;  // whether it stands in `jobs`
+    std::map<std::string, bool> in_jobs_table;  // by id: whether the row exists
     SQLite::Statement journal(db, "SELECT number, body FROM journal ORDER BY number");
     SQLite::Statement job(db, "SELECT body FROM jobs WHERE id=?");
     std::int64_t last = 0;
@@ -332,7 +333,7 @@
     while (records < max_records && compacted < rows - keep_rows && journal.executeStep()) {
       const auto batch = DecodeRecords(BlobAt(journal, 1));
       if (!batch)
-        throw StoreError(StoreError::Kind::kCorrupt, settings_.file + ": journal: a row cannot be read");
+        throw StoreError(StoreError::Kind::kCorrupt, settings_.file + ": journal: cannot decode a row");
       for (const Record& r : *batch) {
         if (!r.id.empty() && !in_jobs_table.contains(r.id)) {
           job.reset();
@@ -342,11 +343,11 @@
           auto before = exists ? DecodeJob(BlobAt(job, 0)) : std::nullopt;
           if (exists && (!before || !table.Restore(r.id, std::move(*before))))
             throw StoreError(StoreError::Kind::kCorrupt,
-                             settings_.file + ": job " + r.id + ": it cannot be read");
+                             settings_.file + ": job " + r.id + ": cannot decode it");
         }
         if (!table.Apply(r))
-          throw StoreError(StoreError::Kind::kCorrupt,
-                           settings_.file + ": journal: a record of " + r.id + " cannot follow");
+          throw StoreError(StoreError::Kind::kCorrupt, settings_.file + ": journal: a record of " + r.id +
+                                                           " is no valid next transition");
       }
       last = journal.getColumn(0).getInt64();
       records += batch->size();
@@ -355,14 +356,14 @@
     SQLite::Statement upsert(db, "INSERT OR REPLACE INTO jobs VALUES(?, ?, ?)");
     SQLite::Statement erase(db, "DELETE FROM jobs WHERE id=?");
     for (const auto& [id, exists] : in_jobs_table) {
-      const Job* now = table.Find(id);
-      if (now == nullptr && !exists) continue;  // taken and over within these rows
-      SQLite::Statement& write = now != nullptr ? upsert : erase;
+      const Job* current = table.Find(id);
+      if (current == nullptr && !exists) continue;  // accepted and purged within these rows
+      SQLite::Statement& write = current != nullptr ? upsert : erase;
       write.reset();
       write.bind(1, id);
       std::string body;
-      if (now != nullptr) {
-        body = Encode(*now);
+      if (current != nullptr) {
+        body = Encode(*current);
         write.bind(2, Checksum(body));
         write.bindNoCopy(3, body.data(), static_cast<int>(body.size()));
       }
@@ -385,7 +386,7 @@
 }
 
 std::vector<OperatorCommand> SqliteStore::TakeCommands() {
-  return TranslateErrors("reading orders", [&] {
+  return TranslateErrors("reading commands", [&] {
     std::vector<OperatorCommand> out;
     SQLite::Database& db = *impl_->db;
     SQLite::Statement read(db, "SELECT number, verb, id FROM orders ORDER BY number");
@@ -401,7 +402,7 @@
 }
 
 void SqliteStore::QueueCommand(const std::string& verb, const std::string& id) {
-  TranslateErrors("leaving an order", [&] {
+  TranslateErrors("queuing a command", [&] {
     SQLite::Statement write(*impl_->db, "INSERT INTO orders(verb, id) VALUES(?, ?)");
     write.bind(1, verb);
     write.bind(2, id);
@@ -439,7 +440,7 @@
 }
 
 void SqliteStore::Snapshot(const std::string& to) {
-  if (std::filesystem::exists(to)) throw StoreError(StoreError::Kind::kDenied, to + ": it is there already");
+  if (std::filesystem::exists(to)) throw StoreError(StoreError::Kind::kDenied, to + ": file exists");
   TranslateErrors("copying", [&] {
     SQLite::Statement copy(*impl_->db, "VACUUM INTO ?");
     copy.bind(1, to);
--- a/src/durable/transferred_jobs.h
+++ b/src/durable/transferred_jobs.h
@@ -1,5 +1,5 @@
-// Durable jobs that come as a whole from another scheduler, or from another process of this one, with the
-// store that keeps them from here on.
+// The durable jobs of one replicated group, as they are transferred from another scheduler or from an earlier
+// process of this one, together with the store that keeps them from then on.
 #ifndef HERONWAY_DURABLE_TRANSFERRED_JOBS_H_
 #define HERONWAY_DURABLE_TRANSFERRED_JOBS_H_
 
@@ -13,12 +13,12 @@
 namespace heronway::durable {
 
 struct TransferredJobs {
-  std::string group;  // of copies
-  std::string front;
-  bool returned = false;  // this scheduler's own, which another looked after meanwhile
+  std::string group;      // the replication group
+  std::string front;      // the front that serves the jobs
+  bool returned = false;  // this scheduler's own jobs, which another one served in the meantime
   std::unique_ptr<Store> store;
-  std::vector<std::pair<std::string, Job>> jobs;
-  Micros clock_stepped_at = 0;  // what may have run up to then ran by another's clock
+  std::vector<std::pair<std::string, Job>> jobs;  // by id
+  Micros clock_stepped_at = 0;  // times up to here were taken with another clock; see JobManager::Adopt
 };
 
 }  // namespace heronway::durable
--- a/src/durable/writer.cpp
+++ b/src/durable/writer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr double kNearLimitShare = 0.9;  // of the store's bound: over it nothing new is taken
+constexpr double kNearLimitShare = 0.9;  // of the store's size limit; above it new jobs are rejected
 
 }  // namespace
 
@@ -63,7 +63,7 @@
   for (;;) {
     if (batch.empty()) {
       std::unique_lock lock(mutex_);
-      // Folding goes on while nothing waits; a busy journal is folded between commits, by and by.
+      // While the queue is empty, compaction continues without a wait; otherwise it does one step per commit.
       if (rows_to_compact_ == 0)
         wake_.wait_until(lock, next_poll, [this] { return !pending_.empty() || stopping_; });
       if (pending_.size() <= settings_.max_commit_records) {
@@ -116,7 +116,8 @@
   return true;
 }
 
-// Many rows at a time: a job that comes and goes within them leaves no trace in the jobs.
+// Compacts many rows together: a job that is accepted and purged within them is never written to the jobs
+// table.
 void Writer::CompactIfDue() {
   if (rows_to_compact_ == 0 && rows_since_compaction_ < settings_.compact_rows) return;
   rows_since_compaction_ = 0;
@@ -126,7 +127,7 @@
     ++counts_.compactions;
     compaction_error_.clear();
   } catch (const StoreError& e) {
-    // Nothing is lost by it but room: the journal grows on, and it is tried again with the next commit.
+    // No data is lost: the journal keeps growing, and compaction is retried once it is due again.
     rows_to_compact_ = 0;
     const std::lock_guard lock(mutex_);
     ++counts_.compaction_errors;
@@ -144,7 +145,7 @@
     const std::lock_guard lock(mutex_);
     std::move(commands.begin(), commands.end(), std::back_inserter(commands_));
   } catch (const StoreError&) {
-    return;  // they stay where they are
+    return;  // the commands stay in the store until the next poll
   }
   on_change_();
 }
--- a/src/durable/writer.h
+++ b/src/durable/writer.h
@@ -1,9 +1,9 @@
-// The one who waits for the disk: a thread that writes what the loop hands it, as many records to a commit as
-// have come since the last, and folds the journal between commits.
+// Writes records to a store on a thread of its own, so that the event loop never waits for the disk. All
+// records that arrive during a commit go into the next one; the journal is compacted between commits.
 //
-// Records are numbered in the order in which they are handed over; `stored()` is the number of the last
-// that is there for good. Order is kept, and nothing is passed over: a write that fails is tried again until
-// it goes through or the writer is ended, and `fault()` tells why meanwhile.
+// Records are numbered in the order in which they are enqueued; `stored()` is the number of the last durable
+// one. They are written in this order without gaps: a failed write is retried until it succeeds or the writer
+// is stopped, and `last_error()` gives the reason in the meantime.
 #ifndef HERONWAY_DURABLE_WRITER_H_
 #define HERONWAY_DURABLE_WRITER_H_
 
@@ -23,32 +23,36 @@
 class Writer {
  public:
   struct Settings {
-    std::size_t max_pending = 65'536;        // records; over this the loop is told not to take more
-    std::size_t max_commit_records = 2'048;  // records
-    std::size_t compact_rows =
-        2'048;  // of the journal that are left alone; folded when there are twice as many
-    std::size_t compact_records = 512;  // folded at a time
+    std::size_t max_pending = 65'536;        // records in the queue; above it full() is true
+    std::size_t max_commit_records = 2'048;  // per commit
+    std::size_t compact_rows = 2'048;        // journal rows that stay; compacted at twice as many
+    std::size_t compact_records = 512;       // per compaction step
     std::chrono::milliseconds retry_interval{200};
-    std::chrono::milliseconds poll_interval{250};  // between two looks for orders
+    std::chrono::milliseconds poll_interval{250};  // for operators' commands
   };
-  // `changed` is called from the writer's thread after a commit, a fault, or an order.
+  // `on_change` is called on the writer's thread after a commit, after a failed write and when commands
+  // arrive.
   Writer(std::unique_ptr<Store> store, Settings settings, std::function<void()> on_change);
-  // Writes what is waiting, for `patience` at the longest, and ends. What could not be written is told by
-  // the difference of what was handed over and stored().
   ~Writer();
+  // Writes the pending records, retrying for at most `timeout`, and ends the thread. The difference of
+  // enqueued() and stored() tells how many records were not written.
   void Stop(std::chrono::milliseconds timeout);
 
-  std::uint64_t Enqueue(std::vector<Record> records);   // the number of the last
-  std::uint64_t enqueued() const { return enqueued_; }  // loop's thread
+  // Returns the number of the last record. Enqueue() and enqueued() are for the event loop's thread only.
+  std::uint64_t Enqueue(std::vector<Record> records);
+  std::uint64_t enqueued() const { return enqueued_; }
   std::uint64_t stored() const { return stored_.load(std::memory_order_acquire); }
+  // Too many records are pending, or the store is near its size limit: new jobs should be rejected.
   bool full() const { return enqueued_ - stored() > settings_.max_pending || near_limit_.load(); }
-  // Records wait because the last write failed: nothing new should be taken.
+  // Records are pending because the last write failed: new jobs should be rejected.
   bool failing() const { return failing_.load() && enqueued_ > stored(); }
-  std::string last_error() const;  // of the last write, else of the last fold; empty: they went through
+  // Error of the last write, otherwise of the last compaction; empty if both succeeded.
+  std::string last_error() const;
+  // Removes and returns the operators' commands that have been read from the store.
   std::vector<OperatorCommand> TakeCommands();
   struct Counts {
     std::uint64_t commits = 0, compactions = 0, write_errors = 0, compaction_errors = 0;
-    std::int64_t longest_commit_us = 0;  // a commit
+    std::int64_t longest_commit_us = 0;
   };
   Counts counts() const;
 
@@ -65,7 +69,8 @@
   std::uint64_t enqueued_ = 0;
   std::atomic<std::uint64_t> stored_{0};
   std::atomic<bool> failing_{false};
-  std::atomic<bool> near_limit_{false};  // the store nears its bound: what is there must still be able to end
+  // The store is near its size limit; the rest is reserved for the records that finish accepted jobs.
+  std::atomic<bool> near_limit_{false};
   mutable std::mutex mutex_;
   std::condition_variable wake_;
   std::vector<Record> pending_;
@@ -74,8 +79,8 @@
   Counts counts_;
   bool stopping_ = false;
   std::chrono::steady_clock::time_point stop_deadline_{};
-  std::size_t rows_to_compact_ = 0,
-              rows_since_compaction_ = 0;  // rows: over what is kept, and written since the last fold
+  std::size_t rows_to_compact_ = 0;        // above compact_rows, as of the last compaction step
+  std::size_t rows_since_compaction_ = 0;  // written since then
   std::thread thread_;
 };
 
--- a/src/net/commit_barrier.h
+++ b/src/net/commit_barrier.h
@@ -1,11 +1,12 @@
-// Holds back what must not be seen outside before the records that it rests on are stored (output commit).
+// Delays effects that are visible outside until the records that they depend on are stored (output commit).
 //
-// Hops and what else concerns a durable job pass in their order once the writer has stored the records
-// that were handed to it before. While the store fails, hops stay: what would be run twice after a crash
-// is not begun. Answers go out after a second, or at their clients' deadlines, all the same, as their
-// clients wait and what they say is true; replies that promise that something is stored are told that it
-// is not known to be. Where copies are kept, somebody else may answer otherwise from what was not
-// committed: then such an answer says that the outcome is not known, and what others wait for stays.
+// Hops and other effects of a durable job are executed in their order, once the writer has stored all records
+// that were enqueued before them. While the store fails, hops stay pending: one that started without a stored
+// lease could run twice after a crash. Answers are released after a second, or at their clients' deadlines,
+// even then, because the clients wait and the answers are true; a reply that confirms that something is
+// stored reports instead that this is unknown. With replication, another scheduler may take over and answer
+// differently from records that were not committed. An unstored answer then says that the outcome is unknown,
+// and notifications of finished jobs stay pending.
 #ifndef HERONWAY_NET_COMMIT_BARRIER_H_
 #define HERONWAY_NET_COMMIT_BARRIER_H_
 
@@ -27,12 +28,14 @@
  public:
   using Executor = std::function<void(core::Effect&)>;
   using StoredCallback = std::function<void(bool stored)>;
-  static constexpr Micros kMaxAnswerDelay = 1'000'000;  // of those who wait for an answer
-  // Past its client's time an answer is worth little, and half a second later it counts as lost.
+  static constexpr Micros kMaxAnswerDelay = 1'000'000;
+  // How long past its client's deadline an answer may be held. It counts as lost half a second after the
+  // deadline.
   static constexpr Micros kDeadlineMargin = 100'000;
 
-  // `ordered`: words of operators' tools came; `changed`: the writer began or ceased to fail; `copied`:
-  // stored means on a majority of the copies; `taken_back`: a hop was called off before it left.
+  // `on_command`: an operator's command has arrived. `on_fault_change`: the writer's error has changed; empty
+  // if it recovered. `replicated`: a record counts as stored once a majority of the replicas has it.
+  // `on_hop_withdrawn`: a hop was cancelled before it was sent.
   CommitBarrier(Loop& loop, std::unique_ptr<durable::Store> store, const durable::Writer::Settings& settings,
                 Executor execute, std::function<void(durable::OperatorCommand)> on_command,
                 std::function<void(const std::string& last_error)> on_fault_change, bool replicated = false,
@@ -44,15 +47,16 @@
         on_command_(std::move(on_command)),
         on_fault_change_(std::move(on_fault_change)),
         wakeup_(loop, [this] { OnWriterProgress(); }),
-        overdue_(loop, [this] { ReleaseOverdue(); }),
+        overdue_timer_(loop, [this] { ReleaseOverdue(); }),
         writer_(std::move(store), settings, [this] { wakeup_.Notify(); }) {}
 
+  // Hands records to the writer. Effects that are submitted afterwards wait for them.
   void Persist(std::vector<durable::Record> records) {
     const Micros began = loop_.Now();
     writer_.Enqueue(std::move(records));
     longest_block_ = std::max(longest_block_, loop_.Now() - began);
   }
-  // Carried out now, or when everything handed over so far is stored.
+  // Executes the effect now, or once all records that were handed over so far are stored.
   void Submit(core::Effect effect) {
     if (AllStored() || IsSafeUnstored(effect)) return execute_(effect);
     if (const auto* off = std::get_if<core::CancelHop>(&effect); off != nullptr && CancelPendingHop(*off))
@@ -68,6 +72,7 @@
     pending_.push_back(std::move(entry));
     CheckOverdueIn(release_at - now);
   }
+  // Calls `then` once all records so far are stored, or with false after kMaxAnswerDelay.
   void WhenStored(StoredCallback then) {
     if (AllStored()) return then(true);
     pending_.push_back(
@@ -77,37 +82,37 @@
   durable::Writer& writer() { return writer_; }
   const durable::Writer& writer() const { return writer_; }
   std::size_t pending() const { return pending_.size(); }
+  // Effects that were released before their records were stored.
   std::uint64_t released_unstored() const { return released_unstored_; }
-  Micros longest_block() const {
-    return longest_block_;
-  }  // that the loop has waited for the writer at a time
+  // Longest time that the event loop has been blocked by the writer's lock.
+  Micros longest_block() const { return longest_block_; }
   void Stop() { writer_.Stop(std::chrono::milliseconds(2'000)); }
-  // What these records are about is another's now: nothing more is stored here, and what was held back is
-  // dropped. Those who wait are told that the outcome is not known; hops that had not left never ran.
+  // Another scheduler serves these jobs now: stops the writer and drops the pending effects. Waiting clients
+  // are answered that the outcome is unknown; pending hops are reported as never run.
   void Abandon(const std::function<void(core::Event)>& post) {
     writer_.Stop(std::chrono::milliseconds(0));
-    std::list<PendingEffect> entry = std::exchange(pending_, {});
-    for (PendingEffect& h : entry) {
-      if (auto* send = std::get_if<core::SendHop>(&h.effect); send != nullptr && !h.then) {
+    std::list<PendingEffect> dropped = std::exchange(pending_, {});
+    for (PendingEffect& entry : dropped) {
+      if (auto* send = std::get_if<core::SendHop>(&entry.effect); send != nullptr && !entry.then) {
         post(core::HopEnded{send->request, send->hop, core::Result::kConnectFailed, {}});
-      } else if (auto* off = std::get_if<core::CancelHop>(&h.effect); off != nullptr && !h.then) {
-        execute_(h.effect);
-      } else if (!std::holds_alternative<core::StartRound>(h.effect)) {
-        Release(std::move(h), false);
+      } else if (auto* off = std::get_if<core::CancelHop>(&entry.effect); off != nullptr && !entry.then) {
+        execute_(entry.effect);
+      } else if (!std::holds_alternative<core::StartRound>(entry.effect)) {
+        Release(std::move(entry), false);
       }
     }
   }
 
  private:
   struct PendingEffect {
-    std::uint64_t last_record;  // of the last record that must be stored
-    Micros release_at;          // goes then, stored or not, where it may
+    std::uint64_t last_record;  // number of the last record that the effect depends on
+    Micros release_at;          // released then without its records, if may_release_unstored
     core::Effect effect;
-    StoredCallback then;  // instead of the effect
+    StoredCallback then;  // if set, called instead of executing the effect
     bool may_release_unstored;
   };
-  // A refusal or a failure is as true without the records behind it, and its client has no time left: while
-  // nothing can be committed it leaves at once.
+  // A shed, rejected or failed request has this outcome whether or not its records are stored, and its client
+  // has little time left: while nothing can be committed, the answer is released at once.
   bool IsSafeUnstored(const core::Effect& effect) const {
     const auto* answer = std::get_if<core::Answer>(&effect);
     return replicated_ && answer != nullptr && answer->kind != core::AnswerKind::kServed && writer_.failing();
@@ -115,12 +120,12 @@
   bool AllStored() const { return pending_.empty() && writer_.stored() == writer_.enqueued(); }
   void CheckOverdueIn(Micros wait) {
     const Micros at = loop_.Now() + wait;
-    if (overdue_.running() && next_check_at_ <= at) return;
+    if (overdue_timer_.running() && next_check_at_ <= at) return;
     next_check_at_ = at;
-    overdue_.Start(wait);
+    overdue_timer_.Start(wait);
   }
-  // Guards against a hop that leaves when the store is well again, long after it was called off, beside the
-  // one that took its place.
+  // Removes a cancelled hop that is still pending. Otherwise it would be sent once the store has recovered,
+  // in addition to the hop that replaced it.
   bool CancelPendingHop(const core::CancelHop& off) {
     for (auto it = pending_.begin(); it != pending_.end(); ++it) {
       const auto* send = std::get_if<core::SendHop>(&it->effect);
@@ -148,19 +153,19 @@
       Release(std::move(next), true);
     }
     const Micros began = loop_.Now();
-    auto orders = writer_.TakeCommands();
+    auto commands = writer_.TakeCommands();
     std::string last_error = writer_.last_error();
     longest_block_ = std::max(longest_block_, loop_.Now() - began);
-    for (auto& order : orders) on_command_(std::move(order));
+    for (auto& command : commands) on_command_(std::move(command));
     if (last_error != last_error_) on_fault_change_(last_error_ = std::move(last_error));
   }
   void ReleaseOverdue() {
     const Micros now = loop_.Now();
-    std::vector<PendingEffect> out;
-    Micros next = -1;  // due among those that stay; a client has 30 ms between that and its own time
+    std::vector<PendingEffect> overdue;
+    Micros next = -1;  // earliest among those that stay; a client's own deadline is 30 ms after it
     for (auto it = pending_.begin(); it != pending_.end();) {
       if (it->may_release_unstored && it->release_at <= now) {
-        out.push_back(std::move(*it));
+        overdue.push_back(std::move(*it));
         it = pending_.erase(it);
         continue;
       }
@@ -168,7 +173,7 @@
       ++it;
     }
     if (next >= 0) CheckOverdueIn(next - now);
-    for (auto& entry : out) Release(std::move(entry), false);
+    for (auto& entry : overdue) Release(std::move(entry), false);
   }
 
   Loop& loop_;
@@ -178,13 +183,13 @@
   std::function<void(durable::OperatorCommand)> on_command_;
   std::function<void(const std::string&)> on_fault_change_;
   Wakeup wakeup_;
-  Timer overdue_;
+  Timer overdue_timer_;
   Micros next_check_at_ = 0;
   std::list<PendingEffect> pending_;
   std::string last_error_;
   std::uint64_t released_unstored_ = 0;
   Micros longest_block_ = 0;
-  durable::Writer writer_;  // last: its thread ends before what it calls
+  durable::Writer writer_;  // last: its thread must end before the members that it calls are destroyed
 };
 
 }  // namespace heronway::net
--- a/tests/durable/store_test.cpp
+++ b/tests/durable/store_test.cpp
@@ -131,19 +131,19 @@
     SQLite::Database raw(file, SQLite::OPEN_READWRITE);
     raw.exec("UPDATE journal SET body = x'9202' || substr(body, 3) WHERE number = 3");
   }
-  EXPECT_NE(Fault().find("journal row 3: the sum does not match"), std::string::npos) << Fault();
+  EXPECT_NE(Fault().find("journal row 3: checksum mismatch"), std::string::npos) << Fault();
   {
     SQLite::Database raw(file, SQLite::OPEN_READWRITE);
     raw.exec("DELETE FROM journal; UPDATE jobs SET sum = 0");
   }
-  EXPECT_NE(Fault().find("job j0: the sum does not match"), std::string::npos) << Fault();
+  EXPECT_NE(Fault().find("job j0: checksum mismatch"), std::string::npos) << Fault();
   std::ofstream(file, std::ios::binary) << std::string(8192, 'z');
   EXPECT_NE(Fault().find("not a database"), std::string::npos) << Fault();
 }
 
 TEST_F(StoreTest, ARecordThatCannotFollowIsNamedWithItsRow) {
   Open()->Append({Take("j"), Of(RecordKind::kStarted, "j", 1)});
-  EXPECT_NE(Fault().find("journal row 1: a record cannot follow"), std::string::npos) << Fault();
+  EXPECT_NE(Fault().find("journal row 1: invalid record sequence"), std::string::npos) << Fault();
 }
 
 TEST_F(StoreTest, ASecondProgramIsRefusedAndToolsAreNot) {
--- a/tests/net/durable_story.cpp
+++ b/tests/net/durable_story.cpp
@@ -317,7 +317,7 @@
   assert(Has(Run("jobs list " + store), "1 waiting, 0 retrying, 0 held, 0 done, 1 failed"));
   assert(Has(Run("jobs list --state failed --json " + store), "\"why\":\"Ink: none left\""));
   assert(Has(Run("jobs show " + store + " job-dead --json"), "jobtype"));
-  assert(Has(Run("jobs snapshot " + store + " " + copy), "nothing is wrong"));
+  assert(Has(Run("jobs snapshot " + store + " " + copy), "no errors found"));
   assert(Has(Run("jobs retry " + store + " job-dead"), "1 done, 0 not"));
   std::string got;  // the worker sits out for its failure
   for (const double until = Now() + 12; got.empty() && Now() < until;) got = Fetch(worker);
@@ -326,7 +326,7 @@
   assert(Has(Run("jobs retry " + store + " job-dead", &status), "0 done, 1 not") && status == 1);
   assert(client.Say(Push("job-away", "preview", ",\"at\":\"2099-01-01T00:00:00Z\"")) == "+OK\r\n");
   assert(Has(Run("jobs discard " + store + " job-away"), "1 done"));
-  assert(Has(Run("jobs verify " + store), "nothing is wrong"));
+  assert(Has(Run("jobs verify " + store), "no errors found"));
   // A start from the copy: it stands as it did then.
   Folder second;
   std::filesystem::copy_file(copy, second.path + "/faktory.db");
@@ -362,7 +362,7 @@
     }
     assert(taken > 10 && taken < 200 && Has(reply, "-ERR S"));
     assert(Has(Fetch(worker), "\"jid\":\"job-1"));
-    assert(Has(Run(serve, &status), "another program serves from it") && status == 2);
+    assert(Has(Run(serve, &status), "another process serves from it") && status == 2);
     p.Kill();
   }
   std::ofstream(store, std::ios::in | std::ios::out) << "not a store at all";
