--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -1,9 +1,9 @@
-// What durable jobs cost, beside bare synced appends on the same disk in the same run; and what a start with
-// many open jobs takes. Not run by CI.
+// Measures the throughput and latency of durable jobs, relative to plain synced appends on the same disk in
+// the same run, and the time of a start with many unfinished jobs. Not run by CI.
 //
 //   durable_bench ack [--clients 64] [--seconds 3] [--rounds 3]   acknowledged jobs a second, p50, p99
-//   durable_bench copies [--seconds 3] [--rounds 3]               1, 3, 5 copies; 1, 16, 64 under way
-//   durable_bench recovery [--rounds 3]                           time to serve, and memory, by open jobs
+//   durable_bench copies [--seconds 3] [--rounds 3]               1, 3, 5 copies; 1, 16, 64 in flight
+//   durable_bench recovery [--rounds 3]                           time to serve and memory, by unfinished jobs
 #include <fcntl.h>
 #include <sys/epoll.h>
 
@@ -35,38 +35,38 @@
                          static_cast<std::size_t>(q * static_cast<double>(values.size())))];
 }
 
-// Appends of `batch` records of 400 bytes, each synced: what sharing a sync among so many can give.
-Figures Bare(const std::string& folder, int batch, double seconds) {
+// Synced appends of `batch` records of 400 bytes: the upper limit for sharing one sync among them.
+Figures PlainAppends(const std::string& folder, int batch, double seconds) {
   const int fd = open((folder + "/bare").c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0644);
   const std::string bytes(static_cast<std::size_t>(batch) * 400, 'x');
-  std::vector<double> took;
+  std::vector<double> latencies_ms;
   const double until = Now() + seconds;
   while (Now() < until) {
     const double began = Now();
     if (write(fd, bytes.data(), bytes.size()) < 0 || fdatasync(fd) != 0)
-      throw std::runtime_error("bare: no disk");
-    took.push_back((Now() - began) * 1e3);
+      throw std::runtime_error("bare: write failed");
+    latencies_ms.push_back((Now() - began) * 1e3);
   }
   close(fd);
-  const double n = static_cast<double>(took.size());
-  return {n * batch / seconds, Quantile(took, 0.5), Quantile(took, 0.99), ""};
+  const double n = static_cast<double>(latencies_ms.size());
+  return {n * batch / seconds, Quantile(latencies_ms, 0.5), Quantile(latencies_ms, 0.99), ""};
 }
 
-// The store and its writer alone, `batch` jobs to a commit. As the bare appends are of bytes that are there
-// already, the making of the records is not counted: from handing them over to knowing that they are stored.
-Figures Alone(const std::string& folder, int batch, double seconds) {
+// The store and its writer alone, with `batch` jobs per commit. Measures from enqueuing the records until
+// they are known to be stored; creating them is excluded, as in the plain appends.
+Figures StoreAndWriter(const std::string& folder, int batch, double seconds) {
   std::filesystem::remove(folder + "/alone.db");
   auto store = std::make_unique<SqliteStore>(
       SqliteStore::Settings{folder + "/alone.db", {"a"}, std::vector<ClassRules>(1), 0},
       SqliteStore::Mode::kServe);
-  std::mutex lock;
+  std::mutex mutex;
   std::condition_variable changed;
   Writer writer(std::move(store), {}, [&] {
-    const std::lock_guard hold(lock);
+    const std::lock_guard lock(mutex);
     changed.notify_one();
   });
-  std::vector<double> took;
-  double waited = 0;
+  std::vector<double> latencies_ms;
+  double total_s = 0;
   std::uint64_t n = 0;
   for (const double until = Now() + seconds; Now() < until;) {
     std::vector<Record> records(static_cast<std::size_t>(batch));
@@ -76,27 +76,27 @@
     }
     const double began = Now();
     const auto last = writer.Enqueue(std::move(records));
-    std::unique_lock hold(lock);
-    changed.wait(hold, [&] { return writer.stored() >= last; });
-    took.push_back((Now() - began) * 1e3);
-    waited += Now() - began;
+    std::unique_lock lock(mutex);
+    changed.wait(lock, [&] { return writer.stored() >= last; });
+    latencies_ms.push_back((Now() - began) * 1e3);
+    total_s += Now() - began;
   }
   const auto c = writer.counts();
-  return {static_cast<double>(n) / waited, Quantile(took, 0.5), Quantile(took, 0.99),
+  return {static_cast<double>(n) / total_s, Quantile(latencies_ms, 0.5), Quantile(latencies_ms, 0.99),
           std::to_string(c.commits > 0 ? n / c.commits : 0) + " a commit, " + std::to_string(c.compactions) +
               " folds"};
 }
 
-// A folder with what the program needs; the program in it.
-struct Served {
+// A scheduler process with its configuration in a folder of its own.
+struct Scheduler {
   static int FreePort() {
     story::Peer peer;
     const int port = std::stoi(peer.at.substr(peer.at.find(':') + 1));
     peer.Close();
     return port;
   }
-  // `copies`: over 1, it is member `index` of as many.
-  explicit Served(const std::string& in, int index = 0, int copies = 1) : folder(in) {
+  // With `copies` above 1 it is member `index` of a fleet of that size.
+  explicit Scheduler(const std::string& in, int index = 0, int copies = 1) : folder(in) {
     port = FreePort();
     std::string cluster;
     story::Site site;
@@ -147,7 +147,7 @@
     }
     return 0;
   }
-  // Of its Faktory front's copies, those that count.
+  // Number of voting replicas of its Faktory front's group.
   int Voters() const {
     const std::string all =
         story::Conn::To(console).Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
@@ -166,11 +166,11 @@
   pid_t pid = -1;
 };
 
-// The whole path: clients on sockets of their own, each with one PUSH under way at a time.
+// The whole path: clients with a socket each, and one PUSH in flight per client.
 Figures Sockets(const std::string& folder, int clients, double seconds, int copies = 1) {
-  Served served(folder, 0, copies);
-  served.Start();
-  std::vector<Served> others;
+  Scheduler scheduler(folder, 0, copies);
+  scheduler.Start();
+  std::vector<Scheduler> others;
   others.reserve(8);
   for (int i = 1; i < copies; ++i) {
     std::filesystem::create_directories(folder + "/" + std::to_string(i));
@@ -178,8 +178,8 @@
   }
   if (copies > 1) {
     story::Pause(1);
-    for (const double until = Now() + 30; served.Voters() < copies; story::Pause(0.1)) {
-      if (Now() > until) throw std::runtime_error("copies: they are not there in time");
+    for (const double until = Now() + 30; scheduler.Voters() < copies; story::Pause(0.1)) {
+      if (Now() > until) throw std::runtime_error("copies: the replicas did not join in time");
     }
   }
   struct Client {
@@ -189,12 +189,12 @@
   std::vector<Client> all(static_cast<std::size_t>(clients));
   const int poll = epoll_create1(EPOLL_CLOEXEC);
   for (std::size_t i = 0; i < all.size(); ++i) {
-    while ((all[i].fd = served.Connect()) < 0) story::Pause(0.01);
+    while ((all[i].fd = scheduler.Connect()) < 0) story::Pause(0.01);
     epoll_event e{EPOLLIN, {.u64 = i}};
     epoll_ctl(poll, EPOLL_CTL_ADD, all[i].fd, &e);
   }
-  std::vector<double> took;
-  const std::string filling(280, 'x');
+  std::vector<double> latencies_ms;
+  const std::string payload(280, 'x');
   const double began = Now();
   while (Now() < began + seconds) {
     epoll_event events[256];
@@ -211,9 +211,9 @@
           throw std::runtime_error("sockets: send");
         continue;
       }
-      if (c.state > 2) took.push_back((Now() - c.sent) * 1e3);
+      if (c.state > 2) latencies_ms.push_back((Now() - c.sent) * 1e3);
       const std::string push = "PUSH {\"jid\":\"bench-" + std::to_string(events[k].data.u64) + "-" +
-                               std::to_string(c.n++) + "\",\"jobtype\":\"preview\",\"args\":[\"" + filling +
+                               std::to_string(c.n++) + "\",\"jobtype\":\"preview\",\"args\":[\"" + payload +
                                "\"]}\r\n";
       c.sent = Now();
       if (send(c.fd, push.data(), push.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(push.size()))
@@ -222,9 +222,10 @@
   }
   for (Client& c : all) close(c.fd);
   close(poll);
-  served.Stop(SIGTERM);
-  for (Served& other : others) other.Stop(SIGKILL);
-  Figures f{static_cast<double>(took.size()) / seconds, Quantile(took, 0.5), Quantile(took, 0.99), ""};
+  scheduler.Stop(SIGTERM);
+  for (Scheduler& other : others) other.Stop(SIGKILL);
+  Figures f{static_cast<double>(latencies_ms.size()) / seconds, Quantile(latencies_ms, 0.5),
+            Quantile(latencies_ms, 0.99), ""};
   std::ifstream log(folder + "/log");
   for (std::string line; std::getline(log, line);) {
     const auto commits = line.find("commits=");
@@ -239,20 +240,20 @@
   for (int round = 0; round < rounds; ++round) {
     char name[] = "/var/tmp/heronway-bench-XXXXXX";
     const std::string folder = mkdtemp(name);
-    const Figures one = Bare(folder, 1, seconds), shared = Bare(folder, clients, seconds);
+    const Figures one = PlainAppends(folder, 1, seconds), shared = PlainAppends(folder, clients, seconds);
     const auto row = [&](const char* what, const Figures& f) {
       std::printf("| %s | %.0f | %.2f ms | %.2f ms | %.2f | %.2f | %s |\n", what, f.per_s, f.p50_ms, f.p99_ms,
                   f.per_s / one.per_s, f.per_s / shared.per_s, f.note.c_str());
     };
     row("bare, one a sync", one);
     row("bare, shared", shared);
-    row("store and writer", Alone(folder, clients, seconds));
+    row("store and writer", StoreAndWriter(folder, clients, seconds));
     row("PUSH over sockets", Sockets(folder, clients, seconds));
     std::filesystem::remove_all(folder);
   }
 }
 
-// Each round plays all three side by side in time, on the same disk.
+// Each round runs all three numbers of replicas one after another, on the same disk.
 void Copies(double seconds, int rounds) {
   std::printf("| on their way | copies | jobs/s | p50 | p99 | of one store | |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- |\n");
@@ -278,7 +279,7 @@
   std::printf("| --- | --- | --- | --- | --- |\n");
   double empty_kb = 0;
   for (const int jobs : {0, 1'000, 10'000, 100'000}) {
-    std::vector<double> took;
+    std::vector<double> latencies_ms;
     double kb = 0, mb = 0;
     for (int round = 0; round < rounds; ++round) {
       char name[] = "/var/tmp/heronway-bench-XXXXXX";
@@ -301,44 +302,44 @@
         while (store.Compact(10'000, 4'096) > 0) {
         }
       }
-      Served served(folder);
+      Scheduler scheduler(folder);
       const double began = Now();
-      served.Start();
+      scheduler.Start();
       int fd = -1;
-      while ((fd = served.Connect()) < 0) story::Pause(0.0005);
+      while ((fd = scheduler.Connect()) < 0) story::Pause(0.0005);
       char hi[64];
       if (recv(fd, hi, sizeof hi, 0) <= 0) throw std::runtime_error("recovery: no greeting");
-      took.push_back((Now() - began) * 1e3);
-      kb = static_cast<double>(served.ResidentKb());
+      latencies_ms.push_back((Now() - began) * 1e3);
+      kb = static_cast<double>(scheduler.ResidentKb());
       mb = static_cast<double>(std::filesystem::file_size(file)) / 1048576;
       close(fd);
-      served.Stop(SIGKILL);
+      scheduler.Stop(SIGKILL);
       std::filesystem::remove_all(folder);
     }
     if (jobs == 0) empty_kb = kb;
-    std::printf("| %d | %.1f ms | %.1f MB | %.0f bytes | %.1f MB |\n", jobs, Quantile(took, 0.5), kb / 1024,
-                jobs > 0 ? (kb - empty_kb) * 1024 / jobs : 0, mb);
+    std::printf("| %d | %.1f ms | %.1f MB | %.0f bytes | %.1f MB |\n", jobs, Quantile(latencies_ms, 0.5),
+                kb / 1024, jobs > 0 ? (kb - empty_kb) * 1024 / jobs : 0, mb);
   }
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"what durable jobs cost"};
+  CLI::App app{"Benchmark of durable jobs"};
   app.require_subcommand(1);
   int clients = 64, rounds = 3;
   double seconds = 3;
-  auto* ack = app.add_subcommand("ack", "Acknowledgements a second, beside bare synced appends");
-  ack->add_option("--clients", clients, "Jobs on their way at a time");
-  ack->add_option("--seconds", seconds, "Each part");
-  auto* copied = app.add_subcommand("copies", "Acknowledgements a second with 1, 3 and 5 copies");
-  copied->add_option("--seconds", seconds, "Each part");
-  auto* recovery = app.add_subcommand("recovery", "Time and memory of a start, by open jobs");
-  for (auto* command : {ack, copied, recovery}) command->add_option("--rounds", rounds, "");
+  auto* ack = app.add_subcommand("ack", "Acknowledgements per second, relative to plain synced appends");
+  ack->add_option("--clients", clients, "Jobs in flight");
+  ack->add_option("--seconds", seconds, "Duration of each part");
+  auto* copies = app.add_subcommand("copies", "Acknowledgements per second with 1, 3 and 5 replicas");
+  copies->add_option("--seconds", seconds, "Duration of each part");
+  auto* recovery = app.add_subcommand("recovery", "Time and memory of a start, by unfinished jobs");
+  for (auto* command : {ack, copies, recovery}) command->add_option("--rounds", rounds, "");
   CLI11_PARSE(app, argc, argv);
   signal(SIGPIPE, SIG_IGN);
   if (ack->parsed()) Ack(clients, seconds, rounds);
-  if (copied->parsed()) Copies(seconds, rounds);
+  if (copies->parsed()) Copies(seconds, rounds);
   if (recovery->parsed()) Recovery(rounds);
   return 0;
 }
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,6 +1,6 @@
-// Three embedded stores on the work of durable jobs: records of a few hundred bytes, many to a synced commit,
-// overwritten once and deleted later; then a whole read, as recovery does it. Beside them a bare loop of
-// synced appends on the same disk, which is the most that group commit can give. Prints the table.
+// Compares three embedded stores on the workload of durable jobs: records of a few hundred bytes, many per
+// synced commit, overwritten once and deleted later, and then a full read as in recovery. The baseline is a
+// plain loop of synced appends on the same disk, the upper limit for group commit. Prints a table.
 #include <fcntl.h>
 #include <lmdb.h>
 #include <rocksdb/db.h>
@@ -22,25 +22,27 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-double Since(Clock::time_point began) { return std::chrono::duration<double>(Clock::now() - began).count(); }
+double SecondsSince(Clock::time_point began) {
+  return std::chrono::duration<double>(Clock::now() - began).count();
+}
 
 struct Write {
   std::uint64_t job;
-  std::string_view value;  // empty: it is forgotten
+  std::string_view value;  // empty: the job is deleted
 };
 
-// One synced commit at a time, and a read of all.
+// A store under test: synced commits and a full read.
 class Store {
  public:
   virtual ~Store() = default;
   virtual void Commit(const std::vector<Write>& writes) = 0;
-  virtual std::size_t ReadAll() = 0;  // records
+  virtual std::size_t ReadAll() = 0;  // returns the number of records
 };
 
-void Must(bool good, const std::string& what) {
-  if (!good) throw std::runtime_error(what);
+void Check(bool ok, const std::string& what) {
+  if (!ok) throw std::runtime_error(what);
 }
-std::string KeyOf(std::uint64_t job) {  // in order of number
+std::string KeyOf(std::uint64_t job) {  // big-endian, so that keys sort by number
   std::string key(8, '\0');
   for (int i = 7; i >= 0; --i, job >>= 8) key[static_cast<std::size_t>(i)] = static_cast<char>(job);
   return key;
@@ -50,14 +52,14 @@
  public:
   explicit Bare(const std::string& folder)
       : path_(folder + "/log"), fd_(open(path_.c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600)) {
-    Must(fd_ >= 0, "bare: open");
+    Check(fd_ >= 0, "bare: open");
   }
   ~Bare() override { close(fd_); }
   void Commit(const std::vector<Write>& writes) override {
     std::string out;
     for (const Write& w : writes) (out += KeyOf(w.job)) += w.value;
-    Must(write(fd_, out.data(), out.size()) == static_cast<ssize_t>(out.size()), "bare: write");
-    Must(fdatasync(fd_) == 0, "bare: sync");
+    Check(write(fd_, out.data(), out.size()) == static_cast<ssize_t>(out.size()), "bare: write");
+    Check(fdatasync(fd_) == 0, "bare: sync");
   }
   std::size_t ReadAll() override { return 0; }
 
@@ -69,14 +71,14 @@
 class Sqlite : public Store {
  public:
   explicit Sqlite(const std::string& folder) {
-    Must(sqlite3_open((folder + "/db").c_str(), &db_) == SQLITE_OK, "sqlite: open");
+    Check(sqlite3_open((folder + "/db").c_str(), &db_) == SQLITE_OK, "sqlite: open");
     for (const char* sql : {"PRAGMA journal_mode=WAL", "PRAGMA synchronous=FULL",
                             "CREATE TABLE jobs (id INTEGER PRIMARY KEY, record BLOB NOT NULL) STRICT"})
       Run(sql);
-    Must(sqlite3_prepare_v2(db_, "INSERT OR REPLACE INTO jobs VALUES (?, ?)", -1, &put_, nullptr) ==
-                 SQLITE_OK &&
-             sqlite3_prepare_v2(db_, "DELETE FROM jobs WHERE id = ?", -1, &erase_, nullptr) == SQLITE_OK,
-         sqlite3_errmsg(db_));
+    Check(sqlite3_prepare_v2(db_, "INSERT OR REPLACE INTO jobs VALUES (?, ?)", -1, &put_, nullptr) ==
+                  SQLITE_OK &&
+              sqlite3_prepare_v2(db_, "DELETE FROM jobs WHERE id = ?", -1, &erase_, nullptr) == SQLITE_OK,
+          sqlite3_errmsg(db_));
   }
   ~Sqlite() override {
     sqlite3_finalize(put_);
@@ -90,7 +92,7 @@
       sqlite3_bind_int64(s, 1, static_cast<std::int64_t>(w.job));
       if (!w.value.empty())
         sqlite3_bind_blob(s, 2, w.value.data(), static_cast<int>(w.value.size()), SQLITE_STATIC);
-      Must(sqlite3_step(s) == SQLITE_DONE, sqlite3_errmsg(db_));
+      Check(sqlite3_step(s) == SQLITE_DONE, sqlite3_errmsg(db_));
       sqlite3_reset(s);
     }
     Run("COMMIT");
@@ -106,7 +108,7 @@
 
  private:
   void Run(const char* sql) {
-    Must(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sqlite3_errmsg(db_));
+    Check(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sqlite3_errmsg(db_));
   }
   sqlite3* db_ = nullptr;
   sqlite3_stmt *put_ = nullptr, *erase_ = nullptr;
@@ -115,31 +117,31 @@
 class Lmdb : public Store {
  public:
   explicit Lmdb(const std::string& folder) {
-    Must(mdb_env_create(&env_) == 0, "lmdb: create");
+    Check(mdb_env_create(&env_) == 0, "lmdb: create");
     mdb_env_set_mapsize(env_, 4ULL << 30);
-    Must(mdb_env_open(env_, folder.c_str(), 0, 0600) == 0, "lmdb: open");
+    Check(mdb_env_open(env_, folder.c_str(), 0, 0600) == 0, "lmdb: open");
     MDB_txn* txn = nullptr;
-    Must(mdb_txn_begin(env_, nullptr, 0, &txn) == 0 && mdb_dbi_open(txn, nullptr, 0, &db_) == 0 &&
-             mdb_txn_commit(txn) == 0,
-         "lmdb: begin");
+    Check(mdb_txn_begin(env_, nullptr, 0, &txn) == 0 && mdb_dbi_open(txn, nullptr, 0, &db_) == 0 &&
+              mdb_txn_commit(txn) == 0,
+          "lmdb: begin");
   }
   ~Lmdb() override { mdb_env_close(env_); }
   void Commit(const std::vector<Write>& writes) override {
     MDB_txn* txn = nullptr;
-    Must(mdb_txn_begin(env_, nullptr, 0, &txn) == 0, "lmdb: begin");
+    Check(mdb_txn_begin(env_, nullptr, 0, &txn) == 0, "lmdb: begin");
     for (const Write& w : writes) {
       std::string key = KeyOf(w.job);
       MDB_val k{key.size(), key.data()}, v{w.value.size(), const_cast<char*>(w.value.data())};
       const int rc = w.value.empty() ? mdb_del(txn, db_, &k, nullptr) : mdb_put(txn, db_, &k, &v, 0);
-      Must(rc == 0 || rc == MDB_NOTFOUND, mdb_strerror(rc));
+      Check(rc == 0 || rc == MDB_NOTFOUND, mdb_strerror(rc));
     }
-    Must(mdb_txn_commit(txn) == 0, "lmdb: commit");
+    Check(mdb_txn_commit(txn) == 0, "lmdb: commit");
   }
   std::size_t ReadAll() override {
     MDB_txn* txn = nullptr;
     MDB_cursor* cursor = nullptr;
-    Must(mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn) == 0 && mdb_cursor_open(txn, db_, &cursor) == 0,
-         "lmdb: read");
+    Check(mdb_txn_begin(env_, nullptr, MDB_RDONLY, &txn) == 0 && mdb_cursor_open(txn, db_, &cursor) == 0,
+          "lmdb: read");
     std::size_t n = 0;
     std::string copy;
     for (MDB_val k, v; mdb_cursor_get(cursor, &k, &v, MDB_NEXT) == 0; ++n)
@@ -162,7 +164,7 @@
     options.IncreaseParallelism(1);
     rocksdb::DB* db = nullptr;
     const auto status = rocksdb::DB::Open(options, folder, &db);
-    Must(status.ok(), status.ToString());
+    Check(status.ok(), status.ToString());
     db_.reset(db);
   }
   void Commit(const std::vector<Write>& writes) override {
@@ -177,7 +179,7 @@
     rocksdb::WriteOptions synced;
     synced.sync = true;
     const auto status = db_->Write(synced, &batch);
-    Must(status.ok(), status.ToString());
+    Check(status.ok(), status.ToString());
   }
   std::size_t ReadAll() override {
     const std::unique_ptr<rocksdb::Iterator> it(db_->NewIterator({}));
@@ -190,7 +192,7 @@
   std::unique_ptr<rocksdb::DB> db_;
 };
 
-std::unique_ptr<Store> Make(const std::string& which, const std::string& folder) {
+std::unique_ptr<Store> OpenStore(const std::string& which, const std::string& folder) {
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
   if (which == "bare") return std::make_unique<Bare>(folder);
@@ -213,11 +215,11 @@
   double seconds = 1;
   std::size_t record = 400, open_jobs = 100'000;
   int rounds = 3;
-  CLI::App app{"store_bench: embedded stores on the work of durable jobs"};
-  app.add_option("--folder", folder, "Where the stores are made, and removed in the end");
-  app.add_option("--seconds", seconds, "For each row and round");
-  app.add_option("--record", record, "Bytes of a job's record");
-  app.add_option("--open", open_jobs, "Jobs that are read back");
+  CLI::App app{"store_bench: embedded stores on the workload of durable jobs"};
+  app.add_option("--folder", folder, "Folder of the stores; removed at the end");
+  app.add_option("--seconds", seconds, "Duration of each row and round");
+  app.add_option("--record", record, "Size of a record in bytes");
+  app.add_option("--open", open_jobs, "Number of jobs in the full read");
   app.add_option("--rounds", rounds);
   CLI11_PARSE(app, argc, argv);
   const std::vector<std::string> stores = {"bare", "sqlite", "lmdb", "rocksdb"};
@@ -229,11 +231,11 @@
     std::vector<std::vector<double>> rates(stores.size()), commits(stores.size());
     for (int round = 0; round < rounds; ++round) {
       for (std::size_t s = 0; s < stores.size(); ++s) {
-        const auto store = Make(stores[s], folder);
+        const auto store = OpenStore(stores[s], folder);
         std::uint64_t next = 1, written = 0;
         const auto began = Clock::now();
-        while (Since(began) < seconds) {
-          // Half are new jobs, a quarter an older one's next state, a quarter one that is forgotten.
+        while (SecondsSince(began) < seconds) {
+          // Half of the writes are new jobs, a quarter updates and a quarter deletions of older ones.
           std::vector<Write> writes;
           for (std::size_t i = 0; i < batch; ++i) {
             const std::uint64_t old = next > 1 ? 1 + random(static_cast<std::uint32_t>(next)) : 1;
@@ -245,10 +247,10 @@
           }
           const auto commit = Clock::now();
           store->Commit(writes);
-          commits[s].push_back(1e3 * Since(commit));
+          commits[s].push_back(1e3 * SecondsSince(commit));
           written += batch;
         }
-        rates[s].push_back(static_cast<double>(written) / Since(began));
+        rates[s].push_back(static_cast<double>(written) / SecondsSince(began));
       }
     }
     for (std::size_t s = 0; s < stores.size(); ++s) {
@@ -265,7 +267,7 @@
     std::size_t n = 0;
     double ms = 0;
     {
-      const auto store = Make(which, folder);
+      const auto store = OpenStore(which, folder);
       for (std::uint64_t next = 1; next <= open_jobs;) {
         std::vector<Write> writes;
         for (int i = 0; i < 1000 && next <= open_jobs; ++i) writes.push_back({next++, value});
@@ -273,7 +275,7 @@
       }
       const auto began = Clock::now();
       n = store->ReadAll();
-      ms = 1e3 * Since(began);
+      ms = 1e3 * SecondsSince(began);
     }
     std::printf("%-8s %9zu %12.1f %12.0f\n", which, n, ms,
                 static_cast<double>(SizeOf(folder)) / static_cast<double>(n));
--- a/src/durable/job_table.cpp
+++ b/src/durable/job_table.cpp
@@ -205,6 +205,7 @@
 }
 
 const char* JobTable::StatusName(Status status) {
+  // As the tools print and accept them; kLeased is "held" there.
   constexpr const char* kNames[] = {"waiting", "retrying", "held", "done", "failed"};
   return kNames[static_cast<std::size_t>(status)];
 }
--- a/src/durable/job_table.h
+++ b/src/durable/job_table.h
@@ -99,8 +99,8 @@
   JobState state = JobState::kWaiting;
   std::uint32_t epoch = 0;  // of the last lease
   LeaseHolder holder;
-  Micros until =
-      0;  // waiting: earliest lease; leased, started: end of the lease; finished: time of the purge
+  // Waiting: earliest next lease; leased, started: end of the lease; finished: time of the purge.
+  Micros until = 0;
   Outcome outcome = Outcome::kNone;
   std::string text;   // the payload; replaced by the result once the job is done
   std::string error;  // of the last failure
--- a/src/net/commit_barrier.h
+++ b/src/net/commit_barrier.h
@@ -29,7 +29,7 @@
   using Executor = std::function<void(core::Effect&)>;
   using StoredCallback = std::function<void(bool stored)>;
   static constexpr Micros kMaxAnswerDelay = 1'000'000;
-  // How long past its client's deadline an answer may be held. It counts as lost half a second after the
+  // How long past its client's deadline an answer may be delayed. It counts as lost half a second after the
   // deadline.
   static constexpr Micros kDeadlineMargin = 100'000;
 
--- a/tests/durable/job_manager_test.cpp
+++ b/tests/durable/job_manager_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Micros kS = 1'000'000;
-enum { kSafe, kKeyed, kUnsafe };
+enum { kIdempotent, kKeyed, kAtMostOnce };
 
 std::vector<ClassRules> Classes(const Settings& settings) {
   pebblenotch::Settings site;
@@ -74,7 +74,7 @@
 
 TEST(JobManager, ADispatchThatFoundNoWorkerIsRepeatedAfterADelay) {
   ManagerFixture f;
-  f.Accept("j", kUnsafe);
+  f.Accept("j", kAtMostOnce);
   EXPECT_EQ(f.Next(), "j");
   EXPECT_EQ(f.Next(), std::nullopt) << "it is active";
   f.job_manager->DispatchEnded(f.now, "j", JobManager::DispatchResult::kShed, 500'000, f.records);
@@ -87,7 +87,7 @@
 
 TEST(JobManager, AFailureIsRetriedWithTheProtocolsBackoffAndThenKeptAsFailed) {
   ManagerFixture f;
-  f.Accept("j", kSafe, 2);
+  f.Accept("j", kIdempotent, 2);
   for (int failures = 0; failures < 2; ++failures) {
     ASSERT_EQ(f.Next(), "j");
     EXPECT_TRUE(f.Report("j", f.Lease("j"), JobManager::WorkerReport::kFailed));
@@ -124,7 +124,7 @@
 // A job that may be running is leased to nobody before the grace period is over, and then as its class
 // allows.
 TEST(JobManager, AfterACrashNoJobThatMayBeRunningIsDispatchedAgain) {
-  for (const int job_class : {kSafe, kKeyed, kUnsafe}) {
+  for (const int job_class : {kIdempotent, kKeyed, kAtMostOnce}) {
     ManagerFixture f(kS, 2 * kS);
     f.Accept("j", job_class);
     f.Next();
@@ -134,7 +134,7 @@
     f.Advance(f.settings.grace - 1);
     EXPECT_EQ(f.Next(), std::nullopt);
     f.Advance(kS * 60);
-    if (job_class == kSafe) {
+    if (job_class == kIdempotent) {
       EXPECT_EQ(f.Next(), "j");
       EXPECT_FALSE(f.Report("j", epoch, JobManager::WorkerReport::kDone) && f.job("j").leased());
     } else {
@@ -146,7 +146,7 @@
 
 TEST(JobManager, AHolderFromBeforeTheCrashMayRenewAndFinishItsJob) {
   ManagerFixture f(2 * kS, 2 * kS);
-  f.Accept("j", kUnsafe);
+  f.Accept("j", kAtMostOnce);
   f.Next();
   f.Report("j", f.Lease("j", 5), JobManager::WorkerReport::kStarted);
   f.Crash();
@@ -162,7 +162,7 @@
 TEST(JobManager, ASignOfLifeRenewsAllLeasesOfItsWorker) {
   ManagerFixture f(2 * kS, 2 * kS);
   for (const char* id : {"a", "b"}) {
-    f.Accept(id, kUnsafe);
+    f.Accept(id, kAtMostOnce);
     f.Next();
     f.Lease(id, 5);
   }
@@ -180,10 +180,10 @@
 
 TEST(JobManager, ActiveAndDiscardedJobsAreNotInTheBacklog) {
   ManagerFixture f;
-  f.job_manager->Accept(f.now, "mine", Spec(kSafe), true, f.records);
+  f.job_manager->Accept(f.now, "mine", Spec(kIdempotent), true, f.records);
   EXPECT_EQ(f.Next(), std::nullopt) << "its first dispatch is active, for its client";
   EXPECT_FALSE(f.job_manager->Discard(f.now, "mine", f.records));
-  JobSpec later = Spec(kSafe);
+  JobSpec later = Spec(kIdempotent);
   later.not_before = f.now + kS;
   f.job_manager->Accept(f.now, "later", later, false, f.records);
   EXPECT_EQ(f.job_manager->delayed(), 1u);
@@ -193,7 +193,7 @@
 
 TEST(JobManager, AResultOfAnExpiredLeaseIsStaleAndChangesNothing) {
   ManagerFixture f;
-  f.Accept("j", kSafe);
+  f.Accept("j", kIdempotent);
   f.Next();
   const std::uint32_t first = f.Lease("j", 1);
   f.job_manager->HopEnded(f.now, "j", first, JobManager::HopResult::kLost, f.records);
@@ -237,8 +237,8 @@
 
 TEST(JobManager, RecoveredJobsAreDispatchedGraduallyAndClassesTakeTurns) {
   ManagerFixture f;
-  for (int i = 0; i < 1'000; ++i) f.Accept("a" + std::to_string(i), kSafe);
-  for (int i = 0; i < 20; ++i) f.Accept("b" + std::to_string(i), kUnsafe);
+  for (int i = 0; i < 1'000; ++i) f.Accept("a" + std::to_string(i), kIdempotent);
+  for (int i = 0; i < 20; ++i) f.Accept("b" + std::to_string(i), kAtMostOnce);
   f.Crash();
   std::vector<std::string> first;
   while (const auto id = f.Next()) first.push_back(*id);
@@ -255,11 +255,11 @@
 
 TEST(JobManager, HigherPriorityGoesFirstAndADelayedJobWaitsForItsTime) {
   ManagerFixture f;
-  JobSpec later = Spec(kSafe), high = Spec(kSafe);
+  JobSpec later = Spec(kIdempotent), high = Spec(kIdempotent);
   later.not_before = f.now + 10 * kS;
   high.priority = 5;
   f.job_manager->Accept(f.now, "later", later, false, f.records);
-  f.Accept("low", kSafe);
+  f.Accept("low", kIdempotent);
   f.job_manager->Accept(f.now, "high", high, false, f.records);
   EXPECT_EQ(f.Next(), "high");
   EXPECT_EQ(f.Next(), "low");
@@ -279,12 +279,12 @@
 
 TEST(AdoptedStores, AdoptedJobsContinueAndTheirRecordsGoToTheirStore) {
   ManagerFixture failed, f;
-  failed.Accept("waits", kUnsafe);
-  failed.Accept("runs", kUnsafe);
+  failed.Accept("waits", kAtMostOnce);
+  failed.Accept("runs", kAtMostOnce);
   failed.Lease("runs", 5);
-  failed.Accept("done", kUnsafe);
+  failed.Accept("done", kAtMostOnce);
   failed.Report("done", failed.Lease("done", 6), JobManager::WorkerReport::kDone);
-  f.Accept("own", kUnsafe);
+  f.Accept("own", kAtMostOnce);
   f.records.clear();
   AdoptAll(f, failed);
   ASSERT_EQ(f.records.size(), 1u) << "the lease, extended by the grace period";
@@ -316,7 +316,8 @@
 TEST(AdoptedStores, JobsTimedByAnotherClockRunAgainOnlyIfIdempotent) {
   ManagerFixture failed, f;
   failed.now += 3'600 * kS;  // its clock is an hour ahead
-  for (const auto& [id, job_class] : std::map<std::string, int>{{"s", kSafe}, {"k", kKeyed}, {"n", kKeyed}})
+  for (const auto& [id, job_class] :
+       std::map<std::string, int>{{"s", kIdempotent}, {"k", kKeyed}, {"n", kKeyed}})
     failed.Accept(id, job_class);
   failed.Lease("s", 5);
   failed.Lease("k", 5);
@@ -332,8 +333,8 @@
 TEST(AdoptedStores, OfTwoJobsWithOneIdTheOneThatMayHaveRunIsKept) {
   ManagerFixture failed, f;
   for (const char* id : {"both wait", "theirs ran", "mine ran"}) {
-    failed.Accept(id, kUnsafe);
-    f.Accept(id, kUnsafe);
+    failed.Accept(id, kAtMostOnce);
+    f.Accept(id, kAtMostOnce);
   }
   failed.Lease("theirs ran", 5);
   f.Lease("mine ran", 1);
@@ -357,8 +358,8 @@
 
 TEST(AdoptedStores, JobsOfAClosedStoreAreNotDispatched) {
   ManagerFixture failed, f;
-  failed.Accept("a", kSafe);
-  failed.Accept("b", kSafe);
+  failed.Accept("a", kIdempotent);
+  failed.Accept("b", kIdempotent);
   AdoptAll(f, failed);
   const std::string first = f.Next().value();
   f.job_manager->CloseStore(3);
@@ -428,10 +429,10 @@
 
 TEST(DurableReducer, RecordsPrecedeTheEffectsThatDependOnThem) {
   Core c;
-  c.Do(core::JobSubmitted{"j", Spec(kUnsafe)});
+  c.Do(core::JobSubmitted{"j", Spec(kAtMostOnce)});
   ASSERT_NE(c.Find<core::StartRound>(), nullptr);
   EXPECT_LT(c.At<core::Persist>(), c.At<core::StartRound>());
-  c.Dispatch("j", kUnsafe);
+  c.Dispatch("j", kAtMostOnce);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr);
   EXPECT_EQ(c.Find<core::Persist>()->records.front().kind, RecordKind::kLeased);
   EXPECT_LT(c.At<core::Persist>(), c.At<core::SendHop>());
@@ -452,8 +453,8 @@
   Settings settings;
   settings.lease = kS;
   Core c(settings);
-  c.Do(core::JobSubmitted{"j", Spec(kSafe)});
-  c.Dispatch("j", kSafe);
+  c.Do(core::JobSubmitted{"j", Spec(kIdempotent)});
+  c.Dispatch("j", kIdempotent);
   c.now += kS;
   c.Do(core::Wake{});
   const auto* off = c.Find<core::CancelHop>();
@@ -492,9 +493,9 @@
 
 TEST(DurableReducer, ADispatchThatMayNotBeLeasedSendsNoHop) {
   Core c;
-  c.Do(core::JobSubmitted{"j", Spec(kSafe)});
+  c.Do(core::JobSubmitted{"j", Spec(kIdempotent)});
   c.Do(core::DrainStarted{});
-  c.Dispatch("j", kSafe);
+  c.Dispatch("j", kIdempotent);
   EXPECT_EQ(c.Find<core::SendHop>(), nullptr) << "no job is started while draining";
   EXPECT_EQ(c.reducer.job_manager()->table().Find("j")->epoch, 0u);
 }
@@ -502,8 +503,8 @@
 TEST(DurableReducer, APlannedStopLeavesWaitingJobsInTheStore) {
   Core c;
   c.Do(core::RoutesChanged{core::ListKind::kWhole, {}});
-  c.Do(core::JobSubmitted{"j", Spec(kSafe)});
-  c.Dispatch("j", kSafe);
+  c.Do(core::JobSubmitted{"j", Spec(kIdempotent)});
+  c.Dispatch("j", kIdempotent);
   c.Do(core::DrainStarted{});
   c.now += c.reducer.stop_times().earliest_exit;
   c.Do(core::Wake{});
@@ -515,17 +516,17 @@
 // record is written, and the results of hops are stale. Jobs in this scheduler's own store continue.
 TEST(DurableReducer, ALostStoreLeavesNoState) {
   Core c, gone;
-  gone.Do(core::JobSubmitted{"theirs", Spec(kUnsafe)});
+  gone.Do(core::JobSubmitted{"theirs", Spec(kAtMostOnce)});
   c.Do(core::JobsAdopted{3, true, 0, {{"theirs", *gone.reducer.job_manager()->table().Find("theirs")}}});
   ASSERT_NE(c.Find<core::StartRound>(), nullptr);
   EXPECT_EQ(c.Find<core::StartRound>()->store_id, 3);
-  c.Dispatch("theirs", kUnsafe);
+  c.Dispatch("theirs", kAtMostOnce);
   ASSERT_NE(c.Find<core::SendHop>(), nullptr);
   EXPECT_EQ(c.Find<core::SendHop>()->store_id, 3);
   EXPECT_EQ(c.Find<core::Persist>()->store_id, 3);
   const auto at = c.Find<core::SendHop>()->target;
-  c.Do(core::JobSubmitted{"own", Spec(kUnsafe)});
-  c.Dispatch("own", kUnsafe);
+  c.Do(core::JobSubmitted{"own", Spec(kAtMostOnce)});
+  c.Dispatch("own", kAtMostOnce);
   c.Do(core::HomeLost{3});
   ASSERT_NE(c.Find<core::Answer>(), nullptr);
   EXPECT_EQ(c.Find<core::Answer>()->kind, core::AnswerKind::kFailed);
--- a/tests/rig/durable_rig.cpp
+++ b/tests/rig/durable_rig.cpp
@@ -1,13 +1,15 @@
-// The torture run of durable jobs: clients push, stand-in workers in processes of their own run what they
-// fetch, and the scheduler and the workers are killed at random moments, alone and together. What the
-// stand-ins saw, in a file that outlives them, is held against the rules at the end:
+// Crash test of durable jobs: clients push jobs, simulated workers in processes of their own run what they
+// fetch, and the scheduler and the workers are killed at random moments, alone and together. The workers
+// write their deliveries and reports to a file that outlives them. At the end it is checked against these
+// invariants:
 //
-//  - every acknowledged job is there, with exactly one final answer, and none that nobody ran is done;
-//  - an unsafe job was delivered once at the most;
-//  - a keyed job was delivered again only inside the workers' window and in the first one's zone, where
-//    workers drop the repeat.
+//  - every acknowledged job is in the store with exactly one final result, and no job is done that no worker
+//    ran;
+//  - an at-most-once job was delivered at most once;
+//  - a keyed job was delivered again only before its key expired and in the zone of the first delivery, where
+//    workers drop the retry.
 //
-// Bounded: --kills and --jobs a second say how much; whatever hangs ends it by a time limit.
+// --kills and --per-s bound the run; a time limit ends it if something hangs.
 #include <fcntl.h>
 #include <json/reader.h>
 #include <json/value.h>
@@ -29,12 +31,12 @@
 using story::Now;
 using Random = std::mt19937;
 
-constexpr double kWindow = 20;  // of the site's keyed classes, seconds
+constexpr double kKeyTtlSeconds = 20;  // of the site's keyed classes
 const char* const kClasses[] = {"preview", "save", "once"};
 
-int Uniform(Random& random, int most) { return std::uniform_int_distribution<int>(0, most)(random); }
+int Uniform(Random& random, int max) { return std::uniform_int_distribution<int>(0, max)(random); }
 
-// A connection that may break at any moment: every call says whether it went through.
+// A connection that may break at any moment. Each call returns whether it succeeded.
 class Link {
  public:
   ~Link() { Close(); }
@@ -88,30 +90,31 @@
   std::string in_;
 };
 
-// One line a call, whole, in the order in which they come; there for good whoever dies.
-void Note(int ledger, const std::string& line) {
+// Appends one line atomically. It is kept whichever process is killed.
+void AppendLine(int ledger, const std::string& line) {
   const std::string text = line + "\n";
   if (write(ledger, text.data(), text.size()) != static_cast<ssize_t>(text.size())) _exit(3);
 }
 
-// A stand-in worker's whole life: it ends by being killed.
-[[noreturn]] void Work(int port, const std::string& wid, const std::string& zone, int ledger, unsigned seed) {
+// The main loop of a simulated worker process, which ends when it is killed.
+[[noreturn]] void RunWorker(int port, const std::string& wid, const std::string& zone, int ledger,
+                            unsigned seed) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   Random random(seed);
   Link link;
-  std::string owed, line;  // `owed`: what it has done, and not been told that it counts
+  std::string unacked, line;  // `unacked`: a report that was not acknowledged yet
   for (;;) {
     if (!link.open() && !link.Hello(port, wid, zone)) {
       link.Close();
       story::Pause(0.005);
       continue;
     }
-    if (!owed.empty()) {
-      if (!link.Ask(owed, line)) {
+    if (!unacked.empty()) {
+      if (!link.Ask(unacked, line)) {
         link.Close();
         continue;
       }
-      if (line == "+OK") owed.clear();
+      if (line == "+OK") unacked.clear();
       continue;
     }
     if (!link.Send("FETCH default") || !link.Line(line)) {
@@ -128,12 +131,12 @@
     std::ostringstream seen;
     seen.precision(17);
     seen << "D " << jid << ' ' << wid << ' ' << zone << ' ' << Now();
-    Note(ledger, seen.str());
-    // Most are short; some stall for longer than two signs of life are apart.
+    AppendLine(ledger, seen.str());
+    // Most jobs are short; some stall for longer than the interval between two signs of life.
     story::Pause(Uniform(random, 19) == 0 ? 0.24 : Uniform(random, 15) * 0.001);
     const bool fails = Uniform(random, 19) == 0;
-    Note(ledger, (fails ? "F " : "A ") + jid);
-    owed = (fails ? "FAIL" : "ACK") + std::string(" {\"jid\":\"" + jid + "\"}");
+    AppendLine(ledger, (fails ? "F " : "A ") + jid);
+    unacked = (fails ? "FAIL" : "ACK") + std::string(" {\"jid\":\"" + jid + "\"}");
   }
 }
 
@@ -143,11 +146,11 @@
   bool limits = false;
 };
 
-class Torture {
+class CrashTest {
  public:
-  explicit Torture(const Options& options) : o_(options), random_(options.seed) {
+  explicit CrashTest(const Options& options) : o_(options), random_(options.seed) {
     char name[] = "/tmp/heronway-torture-XXXXXX";
-    if (mkdtemp(name) == nullptr) throw std::runtime_error("no folder");
+    if (mkdtemp(name) == nullptr) throw std::runtime_error("cannot create a temporary folder");
     folder_ = name;
     port_ = FreePort();
     std::ofstream(folder_ + "/config.json") << story::Site().Json();
@@ -159,15 +162,15 @@
         << "\",\"lease_ms\":1000,\"grace_ms\":400}}";
     ledger_ = open((folder_ + "/ledger").c_str(), O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   }
-  ~Torture() {
-    Kill(program_);
+  ~CrashTest() {
+    Kill(scheduler_);
     for (pid_t& worker : workers_) Kill(worker);
     close(ledger_);
     std::filesystem::remove_all(folder_);
   }
 
   int Run() {
-    StartProgram();
+    StartScheduler();
     workers_.resize(static_cast<std::size_t>(o_.workers), -1);
     for (int i = 0; i < o_.workers; ++i) StartWorker(i);
     std::vector<std::thread> clients;
@@ -178,33 +181,33 @@
       const int what = Uniform(random_, 99);
       const int worker = Uniform(random_, o_.workers - 1);
       if (what < 60) {
-        Kill(program_);
-        ++program_kills_;
+        Kill(scheduler_);
+        ++scheduler_kills_;
         ++kills;
       }
-      if (what >= 45) {  // alone, or within a moment of the scheduler
+      if (what >= 45) {  // alone, or shortly after the scheduler
         Kill(workers_[static_cast<std::size_t>(worker)]);
         ++worker_kills_;
         ++kills;
       }
       if (Uniform(random_, 1) == 0) story::Pause(Uniform(random_, 60) * 0.001);
       if (what >= 45) StartWorker(worker);
-      if (what < 60) StartProgram();
+      if (what < 60) StartScheduler();
     }
     stop_ = true;
     for (auto& client : clients) client.join();
-    const bool drained = Drained();
+    const bool drained = WaitUntilDrained();
     const double took = Now() - began;
-    kill(program_, SIGTERM);
+    kill(scheduler_, SIGTERM);
     int status = -1;
-    waitpid(program_, &status, 0);
-    program_ = -1;
-    const int broken = Judge(drained, WIFEXITED(status) && WEXITSTATUS(status) == 0);
+    waitpid(scheduler_, &status, 0);
+    scheduler_ = -1;
+    const int violations = CheckInvariants(drained, WIFEXITED(status) && WEXITSTATUS(status) == 0);
     std::printf("seed %u: %d kills of the scheduler, %d of workers in %.1f s; %zu jobs acknowledged\n",
-                o_.seed, program_kills_, worker_kills_, took, acknowledged_.size());
+                o_.seed, scheduler_kills_, worker_kills_, took, acknowledged_.size());
     std::printf("  done %d, failed %d; deliveries %d, of those again %d; rules broken %d\n", done_, failed_,
-                deliveries_, again_, broken);
-    return broken == 0 ? 0 : 1;
+                deliveries_, redeliveries_, violations);
+    return violations == 0 ? 0 : 1;
   }
 
  private:
@@ -218,9 +221,9 @@
     waitpid(pid, nullptr, 0);
     pid = -1;
   }
-  void StartProgram() {
-    program_ = fork();
-    if (program_ != 0) return;
+  void StartScheduler() {
+    scheduler_ = fork();
+    if (scheduler_ != 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int log = open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     dup2(log, 2);
@@ -232,11 +235,11 @@
   void StartWorker(int i) {
     const unsigned seed = static_cast<unsigned>(random_());
     const pid_t pid = fork();
-    if (pid == 0) Work(port_, "w" + std::to_string(i), i % 2 == 0 ? "a" : "b", ledger_, seed);
+    if (pid == 0) RunWorker(port_, "w" + std::to_string(i), i % 2 == 0 ? "a" : "b", ledger_, seed);
     workers_[static_cast<std::size_t>(i)] = pid;
   }
 
-  // Pushes one job after another, each by the same jid until it is acknowledged.
+  // Pushes one job after another; each is retried with the same jid until it is acknowledged.
   void Push(int client) {
     Random random(o_.seed * 31 + static_cast<unsigned>(client));
     Link link;
@@ -246,8 +249,8 @@
       const int job_class = Uniform(random, 2);
       const std::string push = "PUSH {\"jid\":\"" + jid + "\",\"jobtype\":\"" + kClasses[job_class] +
                                "\",\"args\":[],\"retry\":0}";
-      bool taken = false;
-      while (!taken && !stop_) {
+      bool acknowledged = false;
+      while (!acknowledged && !stop_) {
         if (!link.open() && !link.Hello(port_, "", "")) {
           link.Close();
           story::Pause(0.005);
@@ -257,19 +260,19 @@
           link.Close();
           continue;
         }
-        taken = line == "+OK";
-        if (!taken) story::Pause(0.05);
+        acknowledged = line == "+OK";
+        if (!acknowledged) story::Pause(0.05);
       }
-      if (taken) {
-        const std::lock_guard hold(lock_);
+      if (acknowledged) {
+        const std::lock_guard lock(mutex_);
         acknowledged_[jid] = job_class;
       }
       story::Pause(3.0 / o_.per_s);
     }
   }
 
-  // Until nothing is open any more.
-  bool Drained() {
+  // Waits until no job is unfinished, for at most a minute.
+  bool WaitUntilDrained() {
     const double until = Now() + 60;
     Link link;
     std::string line;
@@ -295,30 +298,30 @@
     return false;
   }
 
-  struct Seen {
+  struct Deliveries {
     int deliveries = 0, done = 0, failed = 0;
     double first = 0;
     std::string zone;
-    bool outside = false;  // delivered again where the workers would not drop it
+    bool outside = false;  // a retry was delivered where workers would not drop it
   };
 
-  int Judge(bool drained, bool ended_well) {
-    int broken = 0;
-    const auto breaks = [&broken](const std::string& what) {
-      ++broken;
+  int CheckInvariants(bool drained, bool clean_exit) {
+    int violations = 0;
+    const auto fail = [&violations](const std::string& what) {
+      ++violations;
       std::printf("  BROKEN %s\n", what.c_str());
     };
-    if (acknowledged_.empty()) breaks("nothing was acknowledged");
-    if (!drained) breaks("jobs are open after a minute");
-    if (!ended_well) breaks("SIGTERM did not end it with 0");
-    std::map<std::string, Seen> seen;
+    if (acknowledged_.empty()) fail("no job was acknowledged");
+    if (!drained) fail("jobs are unfinished after a minute");
+    if (!clean_exit) fail("the scheduler did not exit with status 0 on SIGTERM");
+    std::map<std::string, Deliveries> seen;
     std::ifstream ledger(folder_ + "/ledger");
     for (std::string line; std::getline(ledger, line);) {
       std::istringstream in(line);
       std::string what, jid, wid, zone;
       double at = 0;
       in >> what >> jid;
-      Seen& s = seen[jid];
+      Deliveries& s = seen[jid];
       if (what == "A") ++s.done;
       if (what == "F") ++s.failed;
       if (what != "D") continue;
@@ -328,8 +331,8 @@
         s.first = at;
         s.zone = zone;
       } else {
-        ++again_;
-        s.outside = s.outside || zone != s.zone || at - s.first >= kWindow;
+        ++redeliveries_;
+        s.outside = s.outside || zone != s.zone || at - s.first >= kKeyTtlSeconds;
       }
     }
     std::map<std::string, Json::Value> stored;
@@ -340,59 +343,60 @@
     while (getline(&row, &size, out) > 0) {
       Json::Value job;
       std::istringstream(row) >> job;
-      if (!stored.emplace(job["id"].asString(), job).second) breaks(job["id"].asString() + " is there twice");
+      if (!stored.emplace(job["id"].asString(), job).second)
+        fail(job["id"].asString() + " is in the store twice");
     }
     free(row);
-    if (pclose(out) != 0) breaks("the store cannot be exported");
+    if (pclose(out) != 0) fail("the store cannot be exported");
     if (std::system(
             (std::string(HERONWAY_PROGRAM) + " jobs verify " + folder_ + "/faktory.db >/dev/null").c_str()) !=
         0)
-      breaks("the store does not verify");
+      fail("jobs verify found errors in the store");
     for (const auto& [jid, job_class] : acknowledged_) {
       const auto job = stored.find(jid);
       if (job == stored.end()) {
-        breaks(jid + " was acknowledged and is lost");
+        fail(jid + " was acknowledged but is not in the store");
         continue;
       }
       const std::string state = job->second["state"].asString();
-      const Seen& s = seen[jid];
+      const Deliveries& s = seen[jid];
       done_ += state == "done" ? 1 : 0;
       failed_ += state == "failed" ? 1 : 0;
-      if (state != "done" && state != "failed") breaks(jid + " has no final answer: " + state);
-      if (state == "done" && s.done == 0) breaks(jid + " is done, and nobody ran it");
-      if (job_class == 2 && s.deliveries > 1) breaks(jid + " is unsafe, and was delivered twice");
-      if (job_class == 1 && s.outside) breaks(jid + " was delivered where its repeat is not dropped");
+      if (state != "done" && state != "failed") fail(jid + " has no final result: " + state);
+      if (state == "done" && s.done == 0) fail(jid + " is done, but no worker ran it");
+      if (job_class == 2 && s.deliveries > 1) fail(jid + " is at-most-once, but was delivered twice");
+      if (job_class == 1 && s.outside) fail(jid + " was delivered again where workers do not drop the retry");
       if (job_class == 0 && state == "failed" && s.failed == 0)
-        breaks(jid + " is safe, and failed without a FAIL");
+        fail(jid + " is idempotent, but failed without a FAIL");
     }
-    if (broken > 0 && std::getenv("TORTURE_KEEP") != nullptr)
+    if (violations > 0 && std::getenv("TORTURE_KEEP") != nullptr)
       std::filesystem::copy(folder_, std::getenv("TORTURE_KEEP"), std::filesystem::copy_options::recursive);
-    return broken;
+    return violations;
   }
 
   Options o_;
   Random random_;
   std::string folder_;
   int port_ = 0, ledger_ = -1;
-  pid_t program_ = -1;
+  pid_t scheduler_ = -1;
   std::vector<pid_t> workers_;
   std::atomic<bool> stop_{false};
-  std::mutex lock_;
+  std::mutex mutex_;
   std::map<std::string, int> acknowledged_;
-  int program_kills_ = 0, worker_kills_ = 0, done_ = 0, failed_ = 0, deliveries_ = 0, again_ = 0;
+  int scheduler_kills_ = 0, worker_kills_ = 0, done_ = 0, failed_ = 0, deliveries_ = 0, redeliveries_ = 0;
 };
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"kills the scheduler and its workers at random, and judges what became of the jobs"};
+  CLI::App app{"Kills the scheduler and its workers at random moments and checks the results of the jobs"};
   Options options;
-  app.add_option("--kills", options.kills, "Of the scheduler and of workers, together");
-  app.add_option("--per-s", options.per_s, "Jobs a second, roughly");
-  app.add_option("--workers", options.workers, "Stand-in workers, each a process");
-  app.add_flag("--limits", options.limits, "With the limits against retry storms on");
+  app.add_option("--kills", options.kills, "Number of kills of the scheduler and of workers, together");
+  app.add_option("--per-s", options.per_s, "Approximate jobs per second");
+  app.add_option("--workers", options.workers, "Number of simulated workers, a process each");
+  app.add_flag("--limits", options.limits, "Enable the limits against retry storms");
   app.add_option("--seed", options.seed, "");
   CLI11_PARSE(app, argc, argv);
   signal(SIGPIPE, SIG_IGN);
-  return Torture(options).Run();
+  return CrashTest(options).Run();
 }
