--- a/src/discovery/list_lease.cpp
+++ b/src/discovery/list_lease.cpp
@@ -4,28 +4,31 @@
 
 namespace heronway::discovery {
 
-ListLease::ListLease(Micros began, Micros grace)
-    : began_(began), good_for_(kPropagationDeadline + std::max<Micros>(grace, 0) - kSafetyMargin) {}
+ListLease::ListLease(Micros process_start, Micros grace)
+    : process_start_(process_start),
+      validity_(kPropagationDeadline + std::max<Micros>(grace, 0) - kSafetyMargin) {}
 
 void ListLease::Confirmed(Micros at) {
-  confirmed_ = std::max(confirmed_, at);
-  outage_seen_ = 0;
-  refusals_ = 0;
-  unusable_ = false;
+  confirmed_at_ = std::max(confirmed_at_, at);
+  outage_observed_at_ = 0;
+  consecutive_refusals_ = 0;
+  unusable_answer_ = false;
 }
 
 void ListLease::CallFailed(Micros now, CallFailure failure) {
-  refusals_ = failure == CallFailure::kRefused ? refusals_ + 1 : 0;
-  unusable_ = unusable_ || failure == CallFailure::kUnusable;
+  consecutive_refusals_ = failure == CallFailure::kRefused ? consecutive_refusals_ + 1 : 0;
+  unusable_answer_ = unusable_answer_ || failure == CallFailure::kUnusable;
   if (failure == CallFailure::kUnusable) return;
-  const bool starting = confirmed_ == 0 && outage_seen_ == 0;
-  const bool sure = refusals_ >= kRefusalsAtStartup || now >= began_ + kStartupPatience;
-  if (!starting || sure) outage_seen_ = now;
+  const bool starting = confirmed_at_ == 0 && outage_observed_at_ == 0;
+  const bool certain =
+      consecutive_refusals_ >= kRefusalsAtStartup || now >= process_start_ + kStartupPatience;
+  if (!starting || certain) outage_observed_at_ = now;
 }
 
 Micros ListLease::ValidUntil() const {
-  const Micros by_confirmation = confirmed_ == 0 ? 0 : confirmed_ + good_for_;
-  const Micros by_outage = unusable_ || outage_seen_ == 0 ? 0 : outage_seen_ + kOutageValidity;
+  const Micros by_confirmation = confirmed_at_ == 0 ? 0 : confirmed_at_ + validity_;
+  const Micros by_outage =
+      unusable_answer_ || outage_observed_at_ == 0 ? 0 : outage_observed_at_ + kOutageValidity;
   return std::max(by_confirmation, by_outage);
 }
 
--- a/src/discovery/route_table.cpp
+++ b/src/discovery/route_table.cpp
@@ -10,7 +10,7 @@
 using pebblenotch::WorkerEntry;
 using pebblenotch::WorkerState;
 
-constexpr std::size_t kMostLabels = 32;  // of a target; what it has beyond these counts for nothing
+constexpr std::size_t kMaxLabels = 32;  // per target; further labels are ignored
 
 int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
@@ -30,13 +30,13 @@
 RouteTable::RouteTable(std::vector<std::string> zones, std::vector<std::string> kinds, Groups groups)
     : zones_(std::move(zones)), kinds_(std::move(kinds)), groups_(std::move(groups)) {}
 
-// When a process that is heard of now started, at the latest and as the clocks claim.
-void RouteTable::DateStart(Route& route, const ClockReading& now) {
+// Sets the latest possible start of a process reported now, and its start as claimed by the clocks.
+void RouteTable::SetStartTimes(Route& route, const ClockReading& now) {
   WorkerEntry& entry = route.entry;
   entry.started_at = entry.claimed_started_at = route.reported_start;
   if (route.reported_start <= 0 || now.steady == 0) return;
-  const core::Micros stepped = now.steady - now.wall;
-  if (std::abs(stepped) > kClockTolerance) entry.claimed_started_at += stepped;
+  const core::Micros clock_offset = now.steady - now.wall;
+  if (std::abs(clock_offset) > kClockTolerance) entry.claimed_started_at += clock_offset;
   entry.claimed_started_at = std::clamp<core::Micros>(entry.claimed_started_at, 1, now.steady);
   const core::Micros age = now.steady - entry.claimed_started_at;
   entry.started_at = age >= kTrustedAge ? entry.claimed_started_at : now.steady;
@@ -46,23 +46,23 @@
                                                      const ClockReading& now) {
   if (!answer.isObject() || !answer["generation"].isUInt64() || !answer["instances"].isArray())
     return std::nullopt;
-  const bool whole = least != core::ListKind::kChanges || Resets(answer);
-  if (!whole && IsOutdated(answer)) return std::nullopt;
-  core::RoutesChanged out;
-  out.kind = whole && least == core::ListKind::kChanges ? core::ListKind::kWhole : least;
+  const bool is_full = least != core::ListKind::kChanges || Resets(answer);
+  if (!is_full && IsOutdated(answer)) return std::nullopt;
+  core::RoutesChanged change;
+  change.kind = is_full && least == core::ListKind::kChanges ? core::ListKind::kWhole : least;
   std::vector<Route> routes;
-  for (const Json::Value& line : answer["instances"]) {
-    if (!line.isObject()) return std::nullopt;
+  for (const Json::Value& instance : answer["instances"]) {
+    if (!instance.isObject()) return std::nullopt;
     Route route;
-    route.name = TextOf(line, "instanceId");
-    route.zone = TextOf(line, "zone");
-    route.kind = TextOf(line, "machineType");
-    for (const Json::Value& label : line["labels"].isArray() ? line["labels"] : Json::Value()) {
-      if (label.isString() && route.labels.size() < kMostLabels) route.labels.push_back(label.asString());
+    route.name = TextOf(instance, "instanceId");
+    route.zone = TextOf(instance, "zone");
+    route.kind = TextOf(instance, "machineType");
+    for (const Json::Value& label : instance["labels"].isArray() ? instance["labels"] : Json::Value()) {
+      if (label.isString() && route.labels.size() < kMaxLabels) route.labels.push_back(label.asString());
     }
-    const std::string state = TextOf(line, "lifecycle");
-    const auto address = net::ParseAddress(TextOf(line, "hostPort"));
-    // A state that is not known wants no fresh work; one without a place to send to can take none.
+    const std::string state = TextOf(instance, "lifecycle");
+    const auto address = net::ParseAddress(TextOf(instance, "hostPort"));
+    // A target in an unknown state is given no new work; one without an address cannot receive any.
     route.state = state == "ready" && address ? WorkerState::kReady
                   : state == "gone"           ? WorkerState::kGone
                                               : WorkerState::kDraining;
@@ -72,36 +72,36 @@
     entry.zone = IndexOf(zones_, route.zone);
     entry.kind = IndexOf(kinds_, route.kind);
     if (groups_) entry.groups = groups_(route.zone, route.kind, route.labels);
-    entry.cell = static_cast<int>(NumberOf(line, "cell", 0));
-    entry.weight = NumberOf(line, "weight", 1);
-    route.reported_start = static_cast<core::Micros>(NumberOf(line, "startedAtMs", 0)) * 1000;
+    entry.cell = static_cast<int>(NumberOf(instance, "cell", 0));
+    entry.weight = NumberOf(instance, "weight", 1);
+    route.reported_start = static_cast<core::Micros>(NumberOf(instance, "startedAtMs", 0)) * 1000;
     entry.state = route.state;
     entry.id = Intern(route.name);
     route.entry = entry;
-    out.entries.push_back(entry);
+    change.entries.push_back(entry);
     routes.push_back(std::move(route));
   }
   generation_ = answer["generation"].asUInt64();
-  if (whole) {
+  if (is_full) {
     for (auto& [id, route] : routes_) route.state = WorkerState::kGone;
   }
   for (std::size_t i = 0; i < routes.size(); ++i) {
-    Route& kept = routes_[out.entries[i].id];
-    if (routes[i].address.sin_port == 0) routes[i].address = kept.address;  // a change may leave it out
-    Route& told = routes[i];
-    const bool heard_before = !kept.name.empty() && kept.reported_start == told.reported_start;
-    if (!heard_before) DateStart(told, now);
-    // Guards a cold target against a list that is older than others' word of its start.
-    const bool heard_later = kept.observed_start > told.entry.claimed_started_at;
-    if (heard_before || heard_later) {
-      told.entry.started_at = kept.entry.started_at;
-      told.entry.claimed_started_at = kept.entry.claimed_started_at;
-      told.observed_start = kept.observed_start;
+    Route& known = routes_[change.entries[i].id];
+    if (routes[i].address.sin_port == 0) routes[i].address = known.address;  // a change may omit it
+    Route& reported = routes[i];
+    const bool same_start = !known.name.empty() && known.reported_start == reported.reported_start;
+    if (!same_start) SetStartTimes(reported, now);
+    // Keeps a target in slow start if the list is older than a restart that others observed.
+    const bool later_start_observed = known.observed_start > reported.entry.claimed_started_at;
+    if (same_start || later_start_observed) {
+      reported.entry.started_at = known.entry.started_at;
+      reported.entry.claimed_started_at = known.entry.claimed_started_at;
+      reported.observed_start = known.observed_start;
     }
-    out.entries[i] = told.entry;
-    kept = std::move(told);
+    change.entries[i] = reported.entry;
+    known = std::move(reported);
   }
-  return out;
+  return change;
 }
 
 bool RouteTable::IsOutdated(const Json::Value& answer) const {
@@ -121,22 +121,22 @@
 }
 
 core::RoutesChanged RouteTable::RefreshGroups() {
-  std::map<core::TargetId, Route*> listed;  // the order of a hash table must not show
+  std::map<core::TargetId, Route*> listed;  // deterministic, unlike the order of a hash table
   for (auto& [id, route] : routes_) listed.emplace(id, &route);
-  core::RoutesChanged out;
+  core::RoutesChanged change;
   for (auto& [id, route] : listed) {
     route->entry.state = route->state;
     if (groups_) route->entry.groups = groups_(route->zone, route->kind, route->labels);
-    out.entries.push_back(route->entry);
+    change.entries.push_back(route->entry);
   }
-  return out;
+  return change;
 }
 
 core::RoutesChanged RouteTable::FullList() {
-  core::RoutesChanged out = RefreshGroups();
-  out.kind = core::ListKind::kWhole;
-  std::erase_if(out.entries, [](const WorkerEntry& e) { return e.state == WorkerState::kGone; });
-  return out;
+  core::RoutesChanged list = RefreshGroups();
+  list.kind = core::ListKind::kWhole;
+  std::erase_if(list.entries, [](const WorkerEntry& e) { return e.state == WorkerState::kGone; });
+  return list;
 }
 
 const Route* RouteTable::Find(core::TargetId id) const {
@@ -160,15 +160,14 @@
                                                 [state](const auto& r) { return r.second.state == state; }));
 }
 
-// FNV-1a of the name, so that every scheduler gives a target the same number; stepped on where two names
-// meet, so that none is taken for the other.
-// FNV-1a.
+// FNV-1a of the name, so that every scheduler gives a target the same id.
 core::TargetId RouteTable::DefaultIdOf(const std::string& name) {
   core::TargetId id = 0xcbf29ce484222325ULL;
   for (const char c : name) id = (id ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   return id;
 }
 
+// The default id, incremented until it is free if two names collide.
 core::TargetId RouteTable::Intern(const std::string& name) {
   if (const auto known = IdOf(name)) return *known;
   core::TargetId id = DefaultIdOf(name);
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -12,7 +12,7 @@
 
 using core::ListKind;
 constexpr Micros kDialTimeout = 1'000'000;
-constexpr std::size_t kMostNamed = 64;  // targets that one log line names
+constexpr std::size_t kMaxNamedTargets = 64;  // per log line
 
 const char* NameOf(pebblenotch::WorkerState state) {
   switch (state) {
@@ -34,22 +34,22 @@
       table_(table),
       at_(at),
       changed_(std::move(changed)),
-      patience_(shared.loop, [this] { Fail(Failure::kNoAnswer, net::Reason::kNoAnswer); }),
-      again_(shared.loop, [this] { Call(); }),
+      call_timeout_(shared.loop, [this] { Fail(Failure::kNoAnswer, net::Reason::kNoAnswer); }),
+      next_call_(shared.loop, [this] { Call(); }),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
-      expiry_(shared.loop, [this] { LookAtLease(); }),
+      lease_expiry_(shared.loop, [this] { UpdateLeaseState(); }),
       lease_(shared.loop.Now(), grace) {}
 
-Micros Watch::Part(Micros most) { return std::uniform_int_distribution<Micros>(0, most)(random_); }
+Micros Watch::RandomUpTo(Micros max) { return std::uniform_int_distribution<Micros>(0, max)(random_); }
 
 void Watch::Start() {
-  if (!calling_ && !again_.running()) Call();
+  if (!calling_ && !next_call_.running()) Call();
 }
 
 void Watch::Stop() {
-  patience_.Stop();
-  again_.Stop();
-  expiry_.Stop();
+  call_timeout_.Stop();
+  next_call_.Stop();
+  lease_expiry_.Stop();
   calling_ = false;
   if (stream_) stream_->Close(net::Reason::kShutdown);
 }
@@ -58,30 +58,30 @@
   Stop();
   at_ = at;
   table_.ResetGeneration();
-  moved_ = true;
+  need_full_list_ = true;
   Call();
 }
 
 void Watch::Call() {
   calling_ = true;
-  began_ = shared_.loop.Now();
-  answer_began_ = 0;
-  again_.Stop();
-  // Nothing is sent before this call is answered where the list may not be acted on: then it is not held.
-  const Micros hold = usable_ ? kHold - Part(kHoldSpread) : kShortHold;
-  patience_.Start(moved_ ? kListPatience : hold + kPatience);
-  // Guards against a call on a connection that discovery has ended, or on which there is more than it was
-  // asked for: that would be taken for the answer.
+  call_started_at_ = shared_.loop.Now();
+  answer_started_at_ = 0;
+  next_call_.Stop();
+  // Without a usable list nothing can be sent until this call is answered, so discovery must not hold it.
+  const Micros hold = usable_ ? kHold - RandomUpTo(kHoldSpread) : kShortHold;
+  call_timeout_.Start(need_full_list_ ? kListPatience : hold + kPatience);
+  // Does not reuse a connection that discovery has closed or that has unread bytes: those would be taken for
+  // the answer to this call.
   if (stream_ && stream_->connected() && stream_->Peek() != net::Stream::Unread::kNothing)
     stream_->Close(net::Reason::kProtocol);
   if (!stream_ || !stream_->open()) {
     if (stream_) shared_.loop.DestroyLater(std::move(stream_));
-    reader_ = std::make_unique<http::MessageParser>(HTTP_RESPONSE, kMostAnswer);
+    parser_ = std::make_unique<http::MessageParser>(HTTP_RESPONSE, kMaxAnswerBytes);
     stream_ =
         std::make_shared<net::Stream>(shared_, at_, kDialTimeout, "discovery " + net::ToText(at_), *this);
   }
   std::string path = "/v1/endpoints";
-  if (!moved_) {
+  if (!need_full_list_) {
     path.append("?from=").append(std::to_string(table_.generation()));
     path.append("&hold_ms=").append(std::to_string(hold / 1000));
   }
@@ -89,13 +89,13 @@
 }
 
 void Watch::OnData(std::string_view bytes) {
-  if (answer_began_ == 0) answer_began_ = shared_.loop.Now();
+  if (answer_started_at_ == 0) answer_started_at_ = shared_.loop.Now();
   std::size_t used = 0;
-  const auto state = reader_->Feed(bytes, used);
+  const auto state = parser_->Feed(bytes, used);
   if (state == http::ParseState::kIncomplete) return;
   if (state != http::ParseState::kComplete || !calling_)
     return Fail(Failure::kBadMessage, net::Reason::kBadMessage);
-  const http::Message answer = reader_->TakeMessage();
+  const http::Message answer = parser_->TakeMessage();
   const std::uint64_t from = table_.generation();
   if (answer.status != 200) {
     return Fail(Failure::kStatus, answer.keep_alive ? std::nullopt : std::optional(net::Reason::kAnswered));
@@ -105,33 +105,33 @@
   std::optional<core::RoutesChanged> change;
   try {
     if (json->parse(answer.body.data(), answer.body.data() + answer.body.size(), &root, nullptr))
-      change = table_.Apply(root, moved_ ? ListKind::kWhole : ListKind::kChanges,
+      change = table_.Apply(root, need_full_list_ ? ListKind::kWhole : ListKind::kChanges,
                             {shared_.loop.Now(), net::Loop::WallClock()});
   } catch (const Json::Exception&) {
   }
   if (!change) {
-    // Changes that are older than what is known here tell nothing of what came between.
-    const bool older = table_.IsOutdated(root);
-    moved_ = moved_ || older;
-    return Fail(older ? Failure::kOldAnswer : Failure::kBadMessage, net::Reason::kBadMessage);
+    // Changes to an older generation leave a gap, so the full list is needed.
+    const bool outdated = table_.IsOutdated(root);
+    need_full_list_ = need_full_list_ || outdated;
+    return Fail(outdated ? Failure::kOldAnswer : Failure::kBadMessage, net::Reason::kBadMessage);
   }
   LogAnswer(from, *change);
-  lease_.Confirmed(answer_began_);
+  lease_.Confirmed(answer_started_at_);
   last_answer_at_ = shared_.loop.Now();
   quick_failures_ = 0;
   if (!answer.keep_alive) stream_->Close(net::Reason::kAnswered);
-  if (used < bytes.size()) stream_->Close(net::Reason::kProtocol);  // nobody asked for what is behind it
-  moved_ = false;
-  Call();  // at once: a later call would start a new watch, and what changed in between go unheard
-  // Where the list could not be acted on before, what is told is the whole of it.
-  if (!LookAtLease()) changed_(std::move(*change));
+  if (used < bytes.size()) stream_->Close(net::Reason::kProtocol);  // unrequested bytes follow the answer
+  need_full_list_ = false;
+  Call();  // at once: changes made between this answer and a later call could be missed
+  // If the list just became usable, the full list has been reported, which includes this change.
+  if (!UpdateLeaseState()) changed_(std::move(*change));
 }
 
-// Tells where the list may be acted on no longer, or again. True where it told the whole list.
-bool Watch::LookAtLease() {
+// Reports when the list becomes unusable or usable again. Returns whether it reported the full list.
+bool Watch::UpdateLeaseState() {
   const Micros now = shared_.loop.Now();
   const bool valid = lease_.Valid(now);
-  valid ? expiry_.Start(lease_.ValidUntil() - now) : expiry_.Stop();
+  valid ? lease_expiry_.Start(lease_.ValidUntil() - now) : lease_expiry_.Stop();
   if (valid == std::exchange(usable_, valid)) return false;
   log::Event(valid ? log::Level::kInfo : log::Level::kWarn, "discovery",
              {{"list", valid ? "in_force" : "out_of_date"},
@@ -141,25 +141,25 @@
   return valid;
 }
 
-// What this process was told, and when: changes by the targets' names, a whole list by its size.
+// Logs what discovery reported: changes with the names of their targets, a full list by its size.
 void Watch::LogAnswer(std::uint64_t from, const core::RoutesChanged& change) const {
-  const bool news = !change.entries.empty();
-  if (!log::Enabled(news ? log::Level::kInfo : log::Level::kDebug)) return;
-  std::string named;
-  const std::size_t most = change.kind == ListKind::kChanges ? kMostNamed : 0;
-  for (std::size_t i = 0; i < change.entries.size() && i < most; ++i) {
+  const bool has_entries = !change.entries.empty();
+  if (!log::Enabled(has_entries ? log::Level::kInfo : log::Level::kDebug)) return;
+  std::string targets;
+  const std::size_t max_named = change.kind == ListKind::kChanges ? kMaxNamedTargets : 0;
+  for (std::size_t i = 0; i < change.entries.size() && i < max_named; ++i) {
     const Route* route = table_.Find(change.entries[i].id);
-    named.append(named.empty() ? "" : " ").append(route->name).append(":").append(NameOf(route->state));
+    targets.append(targets.empty() ? "" : " ").append(route->name).append(":").append(NameOf(route->state));
   }
-  log::Event(news ? log::Level::kInfo : log::Level::kDebug, "discovery",
+  log::Event(has_entries ? log::Level::kInfo : log::Level::kDebug, "discovery",
              {{"call", "answered"},
               {"kind", change.kind == ListKind::kChanges ? "changes" : "whole"},
               {"from", from},
               {"generation", table_.generation()},
               {"entries", change.entries.size()},
               {"listed", table_.CountListed()},
-              {"took_ms", (shared_.loop.Now() - began_) / 1000},
-              {"targets", named}});
+              {"took_ms", (shared_.loop.Now() - call_started_at_) / 1000},
+              {"targets", targets}});
 }
 
 void Watch::OnEnd(net::Reason reason) {
@@ -186,41 +186,42 @@
 
 void Watch::Fail(Failure failure, std::optional<net::Reason> close) {
   if (close && stream_) stream_->Close(*close);
-  patience_.Stop();
+  call_timeout_.Stop();
   calling_ = false;
-  // Guards against a back-off that lasts longer than what is missed meanwhile may go unheard.
+  // The delay is bounded, as changes missed meanwhile count as known after kPropagationDeadline.
   const Micros wait = RetryAfter(failure);
-  again_.Start(wait);
+  next_call_.Start(wait);
   log::Event(log::Level::kWarn, "discovery",
              {{"call", "failed"},
               {"reason", Code(failure)},
-              {"took_ms", (shared_.loop.Now() - began_) / 1000},
+              {"took_ms", (shared_.loop.Now() - call_started_at_) / 1000},
               {"next_ms", wait / 1000},
               {"generation", table_.generation()}});
   changed_({core::ListKind::kFailed, {}});
-  lease_.CallFailed(shared_.loop.Now(), Meaning(failure));
-  LookAtLease();
+  lease_.CallFailed(shared_.loop.Now(), Classify(failure));
+  UpdateLeaseState();
 }
 
 Micros Watch::RetryAfter(Failure failure) {
-  if (moved_) return kAskAgain;
-  const Micros took = shared_.loop.Now() - began_;
-  const Micros usual = std::max(kCallGap * 3 / 4 + Part(kCallGap / 2) - took, Part(kReopen));
+  if (need_full_list_) return kListRetryDelay;
+  const Micros took = shared_.loop.Now() - call_started_at_;
+  const Micros regular_delay =
+      std::max(kCallGap * 3 / 4 + RandomUpTo(kCallGap / 2) - took, RandomUpTo(kReopen));
   const bool quick = failure != Failure::kStatus && took < kQuickFailure;
   quick_failures_ = quick ? quick_failures_ + 1 : 0;
-  if (!quick) return usual;
-  constexpr int kMostDoublings = 4;
-  const Micros soon = kQuickRetry << std::min(quick_failures_ - 1, kMostDoublings);
-  return std::min(usual, soon + Part(soon));
+  if (!quick) return regular_delay;
+  constexpr int kMaxDoublings = 4;
+  const Micros backoff = kQuickRetry << std::min(quick_failures_ - 1, kMaxDoublings);
+  return std::min(regular_delay, backoff + RandomUpTo(backoff));
 }
 
-CallFailure Watch::Meaning(Failure failure) const {
+CallFailure Watch::Classify(Failure failure) const {
   switch (failure) {
     case Failure::kConnectFailed:
       return stream_->connection_refused() ? CallFailure::kRefused : CallFailure::kUnreachable;
     case Failure::kEnded:
     case Failure::kNoAnswer:
-      return answer_began_ == 0 ? CallFailure::kUnreachable : CallFailure::kUnusable;
+      return answer_started_at_ == 0 ? CallFailure::kUnreachable : CallFailure::kUnusable;
     case Failure::kStatus:
       return CallFailure::kUnreachable;
     case Failure::kBadMessage:
--- a/tests/discovery/list_lease_test.cpp
+++ b/tests/discovery/list_lease_test.cpp
@@ -1,4 +1,4 @@
-// How long the list of targets may be acted on, by what became of the calls to discovery.
+// Tests for how long the list of targets may be acted on, depending on the outcome of calls to discovery.
 #include "src/discovery/list_lease.h"
 
 #include <gtest/gtest.h>
@@ -7,36 +7,36 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kBegan = 1'000 * kSecond, kGrace = 2 * kSecond;
-constexpr Micros kGoodFor = ListLease::kPropagationDeadline + kGrace - ListLease::kSafetyMargin;
+constexpr Micros kProcessStart = 1'000 * kSecond, kGrace = 2 * kSecond;
+constexpr Micros kValidity = ListLease::kPropagationDeadline + kGrace - ListLease::kSafetyMargin;
 
-ListLease Started() { return ListLease(kBegan, kGrace); }
-ListLease Confirmed() {
-  ListLease lease = Started();
-  lease.Confirmed(kBegan);
+ListLease UnconfirmedLease() { return ListLease(kProcessStart, kGrace); }
+ListLease ConfirmedLease() {
+  ListLease lease = UnconfirmedLease();
+  lease.Confirmed(kProcessStart);
   return lease;
 }
 
-TEST(ListLease, AProcessThatStartsWaitsForDiscovery) {
-  ListLease lease = Started();
-  EXPECT_FALSE(lease.Valid(kBegan));
-  EXPECT_FALSE(lease.Valid(kBegan + 3'600 * kSecond));
-  lease.Confirmed(kBegan + kSecond);
-  EXPECT_TRUE(lease.Valid(kBegan + kSecond));
+TEST(ListLease, StartingProcessWaitsForDiscovery) {
+  ListLease lease = UnconfirmedLease();
+  EXPECT_FALSE(lease.Valid(kProcessStart));
+  EXPECT_FALSE(lease.Valid(kProcessStart + 3'600 * kSecond));
+  lease.Confirmed(kProcessStart + kSecond);
+  EXPECT_TRUE(lease.Valid(kProcessStart + kSecond));
 }
 
-TEST(ListLease, EndsAGraceAfterWhatMayHaveChangedCountsAsTold) {
-  const ListLease lease = Confirmed();
-  EXPECT_TRUE(lease.Valid(kBegan + kGoodFor - 1));
-  EXPECT_FALSE(lease.Valid(kBegan + kGoodFor));
-  ListLease strict(kBegan, -kSecond);  // no grace at all
-  strict.Confirmed(kBegan);
-  EXPECT_FALSE(strict.Valid(kBegan + ListLease::kPropagationDeadline));
+TEST(ListLease, ExpiresOneGracePeriodAfterThePropagationDeadline) {
+  const ListLease lease = ConfirmedLease();
+  EXPECT_TRUE(lease.Valid(kProcessStart + kValidity - 1));
+  EXPECT_FALSE(lease.Valid(kProcessStart + kValidity));
+  ListLease without_grace(kProcessStart, -kSecond);
+  without_grace.Confirmed(kProcessStart);
+  EXPECT_FALSE(without_grace.Valid(kProcessStart + ListLease::kPropagationDeadline));
 }
 
-TEST(ListLease, AnOutageOfDiscoveryKeepsTheListInForceForAsLongAsItIsSeen) {
-  ListLease lease = Confirmed();
-  Micros now = kBegan;
+TEST(ListLease, StaysValidWhileADiscoveryOutageIsObserved) {
+  ListLease lease = ConfirmedLease();
+  Micros now = kProcessStart;
   for (int call = 0; call < 20; ++call) {
     now += 2 * kSecond;
     lease.CallFailed(now, CallFailure::kUnreachable);
@@ -45,48 +45,48 @@
   EXPECT_FALSE(lease.Valid(now + ListLease::kOutageValidity));
 }
 
-// Whatever failed before or after: answers that cannot be used show that discovery can be reached.
-TEST(ListLease, AnUnusableAnswerEndsItHoweverMuchElseFails) {
+// An unusable answer proves that discovery is reachable, whichever failures come before or after it.
+TEST(ListLease, UnusableAnswerEndsTheLeaseDespiteOtherFailures) {
   for (const bool outage_first : {true, false}) {
-    ListLease lease = Confirmed();
-    if (outage_first) lease.CallFailed(kBegan + kSecond, CallFailure::kUnreachable);
-    lease.CallFailed(kBegan + 2 * kSecond, CallFailure::kUnusable);
-    if (!outage_first) lease.CallFailed(kBegan + kGoodFor - 1, CallFailure::kRefused);
-    EXPECT_TRUE(lease.Valid(kBegan + kGoodFor - 1));
-    EXPECT_FALSE(lease.Valid(kBegan + kGoodFor));
-    lease.Confirmed(kBegan + 2 * kGoodFor);
-    EXPECT_TRUE(lease.Valid(kBegan + 2 * kGoodFor));
+    ListLease lease = ConfirmedLease();
+    if (outage_first) lease.CallFailed(kProcessStart + kSecond, CallFailure::kUnreachable);
+    lease.CallFailed(kProcessStart + 2 * kSecond, CallFailure::kUnusable);
+    if (!outage_first) lease.CallFailed(kProcessStart + kValidity - 1, CallFailure::kRefused);
+    EXPECT_TRUE(lease.Valid(kProcessStart + kValidity - 1));
+    EXPECT_FALSE(lease.Valid(kProcessStart + kValidity));
+    lease.Confirmed(kProcessStart + 2 * kValidity);
+    EXPECT_TRUE(lease.Valid(kProcessStart + 2 * kValidity));
   }
 }
 
-TEST(ListLease, AProcessThatWasHeldUpForLongAsksBeforeItActs) {
-  ListLease lease = Confirmed();
-  lease.CallFailed(kBegan + kSecond, CallFailure::kUnreachable);
-  EXPECT_FALSE(lease.Valid(kBegan + 60 * kSecond));
+TEST(ListLease, ProcessThatWasStalledAsksDiscoveryBeforeItActs) {
+  ListLease lease = ConfirmedLease();
+  lease.CallFailed(kProcessStart + kSecond, CallFailure::kUnreachable);
+  EXPECT_FALSE(lease.Valid(kProcessStart + 60 * kSecond));
 }
 
-TEST(ListLease, AProcessThatStartsInAnOutageActsOnItsListOnceThatIsSure) {
-  ListLease crowded = Started();
-  crowded.CallFailed(kBegan + 2 * kSecond, CallFailure::kUnreachable);
-  EXPECT_FALSE(crowded.Valid(kBegan + 2 * kSecond)) << "one call may have met a crowd";
-  crowded.CallFailed(kBegan + ListLease::kStartupPatience, CallFailure::kUnreachable);
-  EXPECT_TRUE(crowded.Valid(kBegan + ListLease::kStartupPatience));
+TEST(ListLease, ProcessThatStartsInAnOutageUsesItsListOnceTheOutageIsCertain) {
+  ListLease unreachable = UnconfirmedLease();
+  unreachable.CallFailed(kProcessStart + 2 * kSecond, CallFailure::kUnreachable);
+  EXPECT_FALSE(unreachable.Valid(kProcessStart + 2 * kSecond)) << "discovery may have been overloaded";
+  unreachable.CallFailed(kProcessStart + ListLease::kStartupPatience, CallFailure::kUnreachable);
+  EXPECT_TRUE(unreachable.Valid(kProcessStart + ListLease::kStartupPatience));
 
-  ListLease refused = Started();
+  ListLease refused = UnconfirmedLease();
   for (int call = 1; call <= ListLease::kRefusalsAtStartup; ++call) {
-    EXPECT_FALSE(refused.Valid(kBegan + call));
-    refused.CallFailed(kBegan + call, CallFailure::kRefused);
+    EXPECT_FALSE(refused.Valid(kProcessStart + call));
+    refused.CallFailed(kProcessStart + call, CallFailure::kRefused);
   }
-  EXPECT_TRUE(refused.Valid(kBegan + ListLease::kRefusalsAtStartup));
-  refused.CallFailed(kBegan + kSecond, CallFailure::kUnusable);
-  EXPECT_FALSE(refused.Valid(kBegan + kSecond)) << "discovery can be reached after all";
+  EXPECT_TRUE(refused.Valid(kProcessStart + ListLease::kRefusalsAtStartup));
+  refused.CallFailed(kProcessStart + kSecond, CallFailure::kUnusable);
+  EXPECT_FALSE(refused.Valid(kProcessStart + kSecond)) << "discovery turned out to be reachable";
 }
 
-TEST(ListLease, RefusalsThatOtherFailuresPartAreNoneInARow) {
-  ListLease lease = Started();
+TEST(ListLease, RefusalsCountOnlyIfConsecutive) {
+  ListLease lease = UnconfirmedLease();
   for (int call = 1; call <= 2 * ListLease::kRefusalsAtStartup; ++call)
-    lease.CallFailed(kBegan + call, call % 2 == 0 ? CallFailure::kUnreachable : CallFailure::kRefused);
-  EXPECT_FALSE(lease.Valid(kBegan + 2 * ListLease::kRefusalsAtStartup));
+    lease.CallFailed(kProcessStart + call, call % 2 == 0 ? CallFailure::kUnreachable : CallFailure::kRefused);
+  EXPECT_FALSE(lease.Valid(kProcessStart + 2 * ListLease::kRefusalsAtStartup));
 }
 
 }  // namespace
