--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -1,5 +1,5 @@
-// What the limits cost for each arrival: usual clients, a storm of new keys, clients that hammer, and the
-// whole way of a request that is refused and booked.
+// Measures the cost of the limits per event: arrivals of known clients, a storm of new keys, a client that
+// retries continuously, a shed request with its retry reservation, and hops.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -18,13 +18,13 @@
   return s;
 }
 
-// Limits that know a fleet of a thousand and what it finishes.
-struct Warm {
-  Warm() : limits(Enabled(), Site(), 7) {
+// Limits with a known fleet of 1000 workers and known hop durations.
+struct LimitsFixture {
+  LimitsFixture() : limits(Enabled(), Site(), 7) {
     std::vector<pebblenotch::WorkerEntry> fleet(1000);
     for (std::size_t i = 0; i < fleet.size(); ++i) {
       fleet[i].id = i + 1;
-      if (i % 4 == 0) fleet[i].started_at = now;  // a quarter is cold
+      if (i % 4 == 0) fleet[i].started_at = now;  // a quarter is in slow start
     }
     limits.RoutesChanged(now, fleet, true);
     for (int i = 0; i < 2000; ++i) {
@@ -46,69 +46,69 @@
 
 // range(0): microseconds between arrivals.
 void Arrival(benchmark::State& state) {
-  Warm w;
+  LimitsFixture f;
   std::uint64_t n = 0;
   std::string name = "client-0000000000000000";
   for (auto _ : state) {
-    w.now += state.range(0);
+    f.now += state.range(0);
     n = (n + 1) % 5000;
     for (int i = 0; i < 8; ++i)
       name[static_cast<std::size_t>(7 + i)] = static_cast<char>('0' + (n >> (4 * i) & 15));
-    const auto hash = w.limits.HashOf(name, 0);
-    benchmark::DoNotOptimize(w.limits.Arrived(w.now, 0, hash, false, true));
-    benchmark::DoNotOptimize(w.limits.Update(w.now));
+    const auto hash = f.limits.HashOf(name, 0);
+    benchmark::DoNotOptimize(f.limits.Arrived(f.now, 0, hash, false, true));
+    benchmark::DoNotOptimize(f.limits.Update(f.now));
   }
-  state.counters["table_bytes"] = static_cast<double>(w.limits.bytes());
+  state.counters["table_bytes"] = static_cast<double>(f.limits.bytes());
 }
 BENCHMARK(Arrival)->Arg(1000)->Arg(10);
 
-void ArrivalOfNewKeys(benchmark::State& state) {  // a key that was never seen, each time
-  Warm w;
+void ArrivalOfNewKeys(benchmark::State& state) {  // each arrival has a key never seen before
+  LimitsFixture f;
   std::uint64_t n = 0;
   for (auto _ : state) {
-    w.now += 10;
+    f.now += 10;
     const std::uint64_t key = ++n * 0x9e3779b97f4a7c15ULL;
-    const auto hash = w.limits.HashOf({reinterpret_cast<const char*>(&key), sizeof key}, 0);
-    benchmark::DoNotOptimize(w.limits.Arrived(w.now, 0, hash, false, true));
-    benchmark::DoNotOptimize(w.limits.Update(w.now));
+    const auto hash = f.limits.HashOf({reinterpret_cast<const char*>(&key), sizeof key}, 0);
+    benchmark::DoNotOptimize(f.limits.Arrived(f.now, 0, hash, false, true));
+    benchmark::DoNotOptimize(f.limits.Update(f.now));
   }
-  state.counters["table_bytes"] = static_cast<double>(w.limits.bytes());
+  state.counters["table_bytes"] = static_cast<double>(f.limits.bytes());
 }
 BENCHMARK(ArrivalOfNewKeys);
 
-void RefusedAndBooked(benchmark::State& state) {
-  Warm w;
+void ShedAndReserve(benchmark::State& state) {
+  LimitsFixture f;
   std::uint64_t n = 0;
   for (auto _ : state) {
-    w.now += 100;
+    f.now += 100;
     const std::uint64_t key = ++n;
-    const auto hash = w.limits.HashOf({reinterpret_cast<const char*>(&key), sizeof key}, 0);
-    const auto came = w.limits.Arrived(w.now, 0, hash, false, true);
-    benchmark::DoNotOptimize(w.limits.Update(w.now));
-    benchmark::DoNotOptimize(w.limits.RequestShed(w.now, 0, hash, 500'000, came));
+    const auto hash = f.limits.HashOf({reinterpret_cast<const char*>(&key), sizeof key}, 0);
+    const auto arrival = f.limits.Arrived(f.now, 0, hash, false, true);
+    benchmark::DoNotOptimize(f.limits.Update(f.now));
+    benchmark::DoNotOptimize(f.limits.RequestShed(f.now, 0, hash, 500'000, arrival));
   }
 }
-BENCHMARK(RefusedAndBooked);
+BENCHMARK(ShedAndReserve)->Name("RefusedAndBooked");
 
-void Hammering(benchmark::State& state) {  // one client, refused, that comes again all the time
-  Warm w;
-  const auto hash = w.limits.HashOf("hammer", 0);
+void ContinuousRetries(benchmark::State& state) {  // one shed client that retries continuously
+  LimitsFixture f;
+  const auto hash = f.limits.HashOf("hammer", 0);
   for (auto _ : state) {
-    w.now += 10;
-    const auto came = w.limits.Arrived(w.now, 0, hash, true, true);
-    benchmark::DoNotOptimize(w.limits.Update(w.now));
-    benchmark::DoNotOptimize(w.limits.RequestShed(w.now, 0, hash, 500'000, came));
+    f.now += 10;
+    const auto arrival = f.limits.Arrived(f.now, 0, hash, true, true);
+    benchmark::DoNotOptimize(f.limits.Update(f.now));
+    benchmark::DoNotOptimize(f.limits.RequestShed(f.now, 0, hash, 500'000, arrival));
   }
 }
-BENCHMARK(Hammering);
+BENCHMARK(ContinuousRetries)->Name("Hammering");
 
 void HopAndFinish(benchmark::State& state) {
-  Warm w;
+  LimitsFixture f;
   for (auto _ : state) {
-    w.now += 100;
-    w.limits.HopSent(w.now, 1, false);
-    w.limits.HopEnded(w.now, 1, Result::kOk, 200'000, true);
-    benchmark::DoNotOptimize(w.limits.Update(w.now));
+    f.now += 100;
+    f.limits.HopSent(f.now, 1, false);
+    f.limits.HopEnded(f.now, 1, Result::kOk, 200'000, true);
+    benchmark::DoNotOptimize(f.limits.Update(f.now));
   }
 }
 BENCHMARK(HopAndFinish);
--- a/src/discovery/route_table.h
+++ b/src/discovery/route_table.h
@@ -79,8 +79,8 @@
   void ResetGeneration() { generation_ = 0; }
   bool AnyReady() const;
   std::size_t Count(pebblenotch::WorkerState state) const;  // targets in this state
-  // Targets currently listed. Those that a full list omitted or a change reported as gone are kept by name but
-  // not counted.
+  // Targets currently listed. Those that a full list omitted or a change reported as gone are kept by name
+  // but not counted.
   std::size_t CountListed() const { return routes_.size() - Count(pebblenotch::WorkerState::kGone); }
 
  private:
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -28,11 +28,11 @@
 
 }  // namespace
 
-Watch::Watch(net::StreamContext& shared, RouteTable& table, const net::Address& at, std::uint64_t seed,
+Watch::Watch(net::StreamContext& shared, RouteTable& table, const net::Address& address, std::uint64_t seed,
              Micros grace, std::function<void(core::RoutesChanged)> changed)
     : shared_(shared),
       table_(table),
-      at_(at),
+      address_(address),
       changed_(std::move(changed)),
       call_timeout_(shared.loop, [this] { Fail(Failure::kNoAnswer, net::Reason::kNoAnswer); }),
       next_call_(shared.loop, [this] { Call(); }),
@@ -54,9 +54,9 @@
   if (stream_) stream_->Close(net::Reason::kShutdown);
 }
 
-void Watch::SetAddress(const net::Address& at) {
+void Watch::SetAddress(const net::Address& address) {
   Stop();
-  at_ = at;
+  address_ = address;
   table_.ResetGeneration();
   need_full_list_ = true;
   Call();
@@ -77,15 +77,15 @@
   if (!stream_ || !stream_->open()) {
     if (stream_) shared_.loop.DestroyLater(std::move(stream_));
     parser_ = std::make_unique<http::MessageParser>(HTTP_RESPONSE, kMaxAnswerBytes);
-    stream_ =
-        std::make_shared<net::Stream>(shared_, at_, kDialTimeout, "discovery " + net::ToText(at_), *this);
+    stream_ = std::make_shared<net::Stream>(shared_, address_, kDialTimeout,
+                                            "discovery " + net::ToText(address_), *this);
   }
   std::string path = "/v1/endpoints";
   if (!need_full_list_) {
     path.append("?from=").append(std::to_string(table_.generation()));
     path.append("&hold_ms=").append(std::to_string(hold / 1000));
   }
-  stream_->Write(http::FormatRequest("GET", path, {{"Host", net::ToText(at_)}}, {}));
+  stream_->Write(http::FormatRequest("GET", path, {{"Host", net::ToText(address_)}}, {}));
 }
 
 void Watch::OnData(std::string_view bytes) {
@@ -110,7 +110,7 @@
   } catch (const Json::Exception&) {
   }
   if (!change) {
-    // Changes to an older generation leave a gap, so the full list is needed.
+    // Changes to an older generation than the known one cannot be applied, so the full list is needed.
     const bool outdated = table_.IsOutdated(root);
     need_full_list_ = need_full_list_ || outdated;
     return Fail(outdated ? Failure::kOldAnswer : Failure::kBadMessage, net::Reason::kBadMessage);
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -17,11 +17,11 @@
 
 class Watch : public net::Stream::Owner {
  public:
-  // `changed` receives every answer, also empty ones, and a kFailed list when a call fails; this class decides
-  // when the next call is made. When the list may no longer be acted on, `changed` receives an empty full
-  // list, and once it may be acted on again, the full list. `seed` randomizes the retry times, so that
+  // `changed` receives every answer, also empty ones, and a kFailed list when a call fails; this class
+  // decides when the next call is made. When the list may no longer be acted on, `changed` receives an empty
+  // full list, and once it may be acted on again, the full list. `seed` randomizes the retry times, so that
   // schedulers that lost discovery at the same moment do not all call again together. `grace`: see ListLease.
-  Watch(net::StreamContext& shared, RouteTable& table, const net::Address& at, std::uint64_t seed,
+  Watch(net::StreamContext& shared, RouteTable& table, const net::Address& address, std::uint64_t seed,
         Micros grace, std::function<void(core::RoutesChanged)> changed);
   // Whether the list may be acted on, as last reported to `changed`.
   bool usable() const { return usable_; }
@@ -35,15 +35,16 @@
   // When discovery last gave a usable answer; 0: never.
   Micros last_answer_at() const { return last_answer_at_; }
   // Switches to discovery at another address at once: first requests the full list, then watches for changes.
-  void SetAddress(const net::Address& at);
+  void SetAddress(const net::Address& address);
 
-  // The only freshness limit. A change at discovery counts as known 6 s later, whether or not it arrived, also
-  // after calls that failed or timed out. All times count from the start of a call: one without an answer is
-  // abandoned after its hold time plus kPatience, and the next must be answered within the 6 s.
+  // The only freshness limit. A change at discovery counts as known 6 s later, whether or not it arrived,
+  // also after calls that failed or timed out. All times count from the start of a call: one without an
+  // answer is abandoned after its hold time plus kPatience, and the next must be answered within the 6 s.
   static constexpr Micros kPropagationDeadline = ListLease::kPropagationDeadline;
   // How long discovery may hold a call without news: kHold less a random part of kHoldSpread per call. An
   // answer may take kPatience longer than that.
   static constexpr Micros kHold = 2'500'000, kHoldSpread = 500'000, kPatience = 2'000'000;
+  // The hold time while the list is unusable.
   static constexpr Micros kShortHold = 1'000;
   // The next call after a failed one starts kCallGap, plus or minus up to a quarter, after the failed one
   // started, or within kReopen if the failed call took longer than that.
@@ -57,7 +58,8 @@
   static_assert(kHold + kPatience + kReopen < kPropagationDeadline &&
                 kCallGap * 5 / 4 + kPatience < kPropagationDeadline);
   // Discovery does not hold a request for the full list. Its changes count as known even before the first
-  // list from a new address has arrived, so failed requests for that list are retried sooner than other calls.
+  // list from a new address has arrived, so failed requests for that list are retried sooner than other
+  // calls.
   static constexpr Micros kListPatience = 1'500'000, kListRetryDelay = 200'000;
   static constexpr std::size_t kMaxAnswerBytes = 4 * 1024 * 1024;
 
@@ -78,7 +80,7 @@
 
   net::StreamContext& shared_;
   RouteTable& table_;
-  net::Address at_;
+  net::Address address_;
   std::function<void(core::RoutesChanged)> changed_;
   std::shared_ptr<net::Stream> stream_;
   std::unique_ptr<http::MessageParser> parser_;
--- a/src/limits/client_table.cpp
+++ b/src/limits/client_table.cpp
@@ -7,10 +7,15 @@
 #include <xxhash.h>
 
 namespace heronway::limits {
+namespace {
+
+constexpr int kFirstTick = 1 << 20;
+
+}  // namespace
 
 ClientTable::ClientTable(const ClientSettings& settings, std::uint64_t seed)
     : seed_(seed),
-      remember_(static_cast<std::uint32_t>(settings.retention / 1000)),
+      retention_ms_(static_cast<std::uint32_t>(settings.retention / 1000)),
       sets_(std::bit_ceil(std::max<std::size_t>(settings.max_clients, 4)) / std::tuple_size_v<Set>) {}
 
 ClientHash ClientTable::HashOf(std::string_view name, std::uint64_t scope) const {
@@ -20,47 +25,48 @@
   return hash == 0 ? 1 : hash;
 }
 
-// Ticks start at 2^20, so that a clock that was read before the first one does not wrap; 49 days on they
-// wrap, and what is in the table then is at worst taken for old.
+// Ticks start at 2^20, so that times slightly before the epoch do not wrap. They wrap after 49 days; entries
+// from before that are at worst taken for old ones.
 std::uint32_t ClientTable::Ticks(Micros at) const {
-  return static_cast<std::uint32_t>((at - epoch_) / 1000 + (1 << 20));
+  return static_cast<std::uint32_t>((at - epoch_) / 1000 + kFirstTick);
 }
 
-ClientTable::Place& ClientTable::Find(Micros now, ClientHash client, bool& found) {
+ClientTable::Entry& ClientTable::FindOrReplace(Micros now, ClientHash client, bool& found) {
   if (epoch_ < 0) epoch_ = now;
-  const auto print = static_cast<std::uint32_t>(client >> 32);
+  const auto fingerprint = static_cast<std::uint32_t>(client >> 32);
   Set& set = sets_[client & (sets_.size() - 1)];
   const std::uint32_t tick = Ticks(now);
-  Place* oldest = &set[0];
-  for (Place& place : set) {
-    if (place.seen != 0 && place.print == print) {
-      found = tick - place.seen <= remember_ || (place.slot != 0 && place.slot + remember_ >= tick);
-      if (!found) place = {print, 0, 0};
-      return place;
+  Entry* oldest = &set[0];
+  for (Entry& entry : set) {
+    if (entry.last_seen != 0 && entry.fingerprint == fingerprint) {
+      found = tick - entry.last_seen <= retention_ms_ ||
+              (entry.retry_at != 0 && entry.retry_at + retention_ms_ >= tick);
+      if (!found) entry = {fingerprint, 0, 0};
+      return entry;
     }
-    if (place.seen < oldest->seen) oldest = &place;
+    if (entry.last_seen < oldest->last_seen) oldest = &entry;
   }
   found = false;
-  *oldest = {print, 0, 0};
+  *oldest = {fingerprint, 0, 0};
   return *oldest;
 }
 
 ClientTable::Known ClientTable::Touch(Micros now, ClientHash client) {
   if (client == 0) return {};
   Known known;
-  Place& place = Find(now, client, known.seen);
-  if (known.seen && place.slot != 0)
-    known.slot = epoch_ + (static_cast<Micros>(place.slot) - (1 << 20)) * 1000;
-  place.seen = std::max<std::uint32_t>(1, Ticks(now));
+  Entry& entry = FindOrReplace(now, client, known.seen);
+  if (known.seen && entry.retry_at != 0)
+    known.retry_at = epoch_ + (static_cast<Micros>(entry.retry_at) - kFirstTick) * 1000;
+  entry.last_seen = std::max<std::uint32_t>(1, Ticks(now));
   return known;
 }
 
-void ClientTable::SetSlot(Micros now, ClientHash client, Micros slot) {
+void ClientTable::SetRetryTime(Micros now, ClientHash client, Micros retry_at) {
   if (client == 0) return;
   bool found = false;
-  Place& place = Find(now, client, found);
-  place.seen = std::max<std::uint32_t>(1, Ticks(now));
-  place.slot = slot == 0 ? 0 : Ticks(slot);
+  Entry& entry = FindOrReplace(now, client, found);
+  entry.last_seen = std::max<std::uint32_t>(1, Ticks(now));
+  entry.retry_at = retry_at == 0 ? 0 : Ticks(retry_at);
 }
 
 }  // namespace heronway::limits
--- a/src/limits/client_table.h
+++ b/src/limits/client_table.h
@@ -1,9 +1,9 @@
-// Who came lately, and when they were told to come back: a fixed table, however many clients there are.
+// Remembers recent clients and the retry times assigned to them, in a table of fixed size.
 //
-// Four places a set, chosen by a seeded XXH3 of the client's name, so that nobody outside can choose names
-// that meet. In a full set the one heard of longest ago makes room. Two names that share a set and 32 bits of
-// the hash are taken for one: at 16,384 places about once in a million arrivals, and the cost is one wait too
-// many or too few.
+// The table is 4-way set associative. A seeded XXH3 of the client's name selects the set, so that outsiders
+// cannot choose names that collide. A full set evicts its least recently seen entry. Two names that share a
+// set and 32 bits of the hash are taken for the same client: with 16,384 entries about once in a million
+// arrivals, at the cost of one retry wait too many or too few.
 #ifndef HERONWAY_LIMITS_CLIENT_TABLE_H_
 #define HERONWAY_LIMITS_CLIENT_TABLE_H_
 
@@ -16,40 +16,41 @@
 
 namespace heronway::limits {
 
-using ClientHash = std::uint64_t;  // 0: a client that cannot be known again
+using ClientHash = std::uint64_t;  // 0: a client that cannot be recognized again
 
 class ClientTable {
  public:
   ClientTable(const ClientSettings& settings, std::uint64_t seed);
 
-  // The hash under which a client is known; never 0 for a name that is not empty. `scope` keeps equal names
-  // of different kinds apart (a job class).
+  // The hash that identifies a client; 0 for an empty name and never 0 otherwise. `scope` (a job class) keeps
+  // equal names of different kinds apart.
   ClientHash HashOf(std::string_view name, std::uint64_t scope) const;
 
   struct Known {
-    bool seen = false;  // within `remember`
-    Micros slot = 0;    // when it was told to come back; 0: it was not
+    bool seen = false;    // within ClientSettings::retention
+    Micros retry_at = 0;  // the retry time assigned to it; 0: none
   };
-  // Looks a client up and notes that it came. O(1), no allocation.
+  // Looks a client up and records that it was seen. O(1), no allocation.
   Known Touch(Micros now, ClientHash client);
-  // Notes when a client was told to come back; 0 forgets it.
-  void SetSlot(Micros now, ClientHash client, Micros slot);
+  // Records the retry time assigned to a client; 0 removes it.
+  void SetRetryTime(Micros now, ClientHash client, Micros retry_at);
 
   std::size_t bytes() const { return sets_.size() * sizeof(Set); }
 
  private:
-  struct Place {
-    std::uint32_t print = 0;  // of the hash; with seen == 0: empty
-    std::uint32_t seen = 0;   // in ticks of 1 ms since `epoch_`, 1 at the least
-    std::uint32_t slot = 0;   // likewise; 0: none
+  struct Entry {
+    std::uint32_t fingerprint = 0;  // upper 32 bits of the hash
+    std::uint32_t last_seen = 0;    // in ticks of 1 ms, see Ticks(); 0: the entry is empty
+    std::uint32_t retry_at = 0;     // likewise; 0: none
   };
-  using Set = std::array<Place, 4>;
-  Place& Find(Micros now, ClientHash client, bool& found);
+  using Set = std::array<Entry, 4>;
+  Entry& FindOrReplace(Micros now, ClientHash client, bool& found);
+  // Milliseconds since shortly before `epoch_`, modulo 2^32.
   std::uint32_t Ticks(Micros at) const;
 
   std::uint64_t seed_;
-  std::uint32_t remember_;
-  Micros epoch_ = -1;
+  std::uint32_t retention_ms_;
+  Micros epoch_ = -1;  // the first time passed in; -1: none yet
   std::vector<Set> sets_;
 };
 
--- a/src/limits/fleet_capacity.cpp
+++ b/src/limits/fleet_capacity.cpp
@@ -4,61 +4,62 @@
 
 namespace heronway::limits {
 
-void FleetCapacity::Take(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole) {
-  ++list_;
+void FleetCapacity::Apply(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool is_full) {
+  ++lists_;
   for (const auto& e : entries) {
     Member& m = members_[e.id];
     const bool ready = e.state == pebblenotch::WorkerState::kReady;
-    if (m.ready && !ready) m.left = now;
-    if (ready) m.left = -1;
+    if (m.ready && !ready) m.left_at = now;
+    if (ready) m.left_at = -1;
     m.ready = ready;
-    m.since = e.started_at;
-    m.list = list_;
+    m.started_at = e.started_at;
+    m.last_listing = lists_;
   }
-  if (whole) {
+  if (is_full) {
     for (auto& [id, m] : members_) {
-      if (m.list != list_ && m.ready) {
+      if (m.last_listing != lists_ && m.ready) {
         m.ready = false;
-        m.left = now;
+        m.left_at = now;
       }
     }
   }
-  std::erase_if(members_, [now](const auto& m) { return !m.second.ready && m.second.left < now - kMourned; });
-  Sort(now);
+  std::erase_if(members_,
+                [now](const auto& m) { return !m.second.ready && m.second.left_at < now - kAbsenceWindow; });
+  Classify(now);
 }
 
-void FleetCapacity::Sort(Micros now) {
-  warm_ = 0;
-  cold_.clear();
-  left_.clear();
+void FleetCapacity::Classify(Micros now) {
+  full_workers_ = 0;
+  slow_starts_.clear();
+  departures_.clear();
   for (const auto& [id, m] : members_) {
     if (!m.ready) {
-      left_.push_back(m.left);
-    } else if (m.since > 0 && now < m.since + warm_up_) {
-      cold_.push_back(m.since);
+      departures_.push_back(m.left_at);
+    } else if (m.started_at > 0 && now < m.started_at + slow_start_time_) {
+      slow_starts_.push_back(m.started_at);
     } else {
-      warm_ += 1;
+      full_workers_ += 1;
     }
   }
-  // The order of a hash table must not show in sums of fractions.
-  std::sort(cold_.begin(), cold_.end());
+  // Sums of fractions must not depend on the order of a hash table.
+  std::sort(slow_starts_.begin(), slow_starts_.end());
 }
 
-double FleetCapacity::StrengthAt(Micros at) const {
-  double strength = warm_;
-  for (const Micros since : cold_) {
-    const double risen =
-        std::clamp(static_cast<double>(at - since) / static_cast<double>(warm_up_), 0.0, 1.0);
-    strength += cold_from_ + (1 - cold_from_) * risen;
+double FleetCapacity::CapacityAt(Micros at) const {
+  double capacity = full_workers_;
+  for (const Micros started_at : slow_starts_) {
+    const double progress =
+        std::clamp(static_cast<double>(at - started_at) / static_cast<double>(slow_start_time_), 0.0, 1.0);
+    capacity += slow_start_floor_ + (1 - slow_start_floor_) * progress;
   }
-  return strength;
+  return capacity;
 }
 
 double FleetCapacity::MissingShare(Micros now) const {
-  const auto mourned =
-      std::count_if(left_.begin(), left_.end(), [now](Micros l) { return l >= now - kMourned; });
-  const double usual = warm_ + static_cast<double>(cold_.size()) + static_cast<double>(mourned);
-  return usual <= 0 ? 0 : std::clamp(1 - StrengthAt(now) / usual, 0.0, 1.0);
+  const auto absent = std::count_if(departures_.begin(), departures_.end(),
+                                    [now](Micros left_at) { return left_at >= now - kAbsenceWindow; });
+  const double usual = full_workers_ + static_cast<double>(slow_starts_.size()) + static_cast<double>(absent);
+  return usual <= 0 ? 0 : std::clamp(1 - CapacityAt(now) / usual, 0.0, 1.0);
 }
 
 }  // namespace heronway::limits
--- a/src/limits/fleet_capacity.h
+++ b/src/limits/fleet_capacity.h
@@ -1,6 +1,6 @@
-// What share of its usual strength the fleet has, now and at times to come: workers that are missing count
-// for nothing, cold ones rise evenly from `cold_from` to the full over `warm_up`, as the rules of the site
-// state it. The unit is one warm worker.
+// The capacity of the fleet relative to its usual one, now and in the future. Missing workers count as 0;
+// workers in slow start rise linearly from `slow_start_floor` to 1 over `slow_start_time`, as the site's
+// settings define it. The unit is one worker at full capacity.
 #ifndef HERONWAY_LIMITS_FLEET_CAPACITY_H_
 #define HERONWAY_LIMITS_FLEET_CAPACITY_H_
 
@@ -14,34 +14,35 @@
 
 class FleetCapacity {
  public:
-  FleetCapacity(double cold_from, Micros warm_up) : cold_from_(cold_from), warm_up_(warm_up) {}
-
-  // `whole`: workers that are not named are gone.
-  void Take(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole);
-  // Warm workers' worth of strength at a time; for times to come, as far as is known now. O(cold workers).
-  double StrengthAt(Micros at) const;
-  // Of the strength that the fleet has when all that were ready within the last minute are warm, the share
-  // that is missing now; 0 to 1.
+  FleetCapacity(double slow_start_floor, Micros slow_start_time)
+      : slow_start_floor_(slow_start_floor), slow_start_time_(slow_start_time) {}
+
+  // Applies a list of workers, or changes to it. `is_full`: workers that are not listed are gone.
+  void Apply(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool is_full);
+  // Capacity at a time; for future times, as predicted from what is known now. O(workers in slow start).
+  double CapacityAt(Micros at) const;
+  // The share of the usual capacity that is missing now, 0 to 1. The usual capacity counts every worker that
+  // was ready within the last kAbsenceWindow as a full one.
   double MissingShare(Micros now) const;
   bool known() const { return !members_.empty(); }
 
  private:
-  static constexpr Micros kMourned = 60'000'000;  // a worker that is gone counts as missing for so long
+  static constexpr Micros kAbsenceWindow = 60'000'000;  // an absent worker counts as missing for this long
   struct Member {
-    Micros since = 0;
+    Micros started_at = 0;
     bool ready = false;
-    Micros left = -1;  // when it stopped being ready
-    std::uint64_t list = 0;
+    Micros left_at = -1;             // when it stopped being ready
+    std::uint64_t last_listing = 0;  // number of the latest list that named it
   };
-  void Sort(Micros now);
+  void Classify(Micros now);
 
-  double cold_from_;
-  Micros warm_up_;
+  double slow_start_floor_;
+  Micros slow_start_time_;
   std::unordered_map<pebblenotch::WorkerId, Member> members_;
-  std::uint64_t list_ = 0;
-  double warm_ = 0;
-  std::vector<Micros> cold_;  // start times
-  std::vector<Micros> left_;  // times of leaving
+  std::uint64_t lists_ = 0;          // applied so far
+  double full_workers_ = 0;          // ready and past slow start
+  std::vector<Micros> slow_starts_;  // start times of workers in slow start
+  std::vector<Micros> departures_;   // when absent workers stopped being ready
 };
 
 }  // namespace heronway::limits
--- a/src/limits/limits.cpp
+++ b/src/limits/limits.cpp
@@ -7,19 +7,19 @@
 namespace heronway::limits {
 namespace {
 
-constexpr Micros kSaturated =
-    500'000;                          // after a refusal, what finishes is taken for all that the fleet can do
-constexpr double kFigureStep = 0.05;  // a figure that moved by less is not told anew
+// For this long after a shed the completion rate is taken as the fleet's maximum.
+constexpr Micros kSaturationTime = 500'000;
+constexpr double kMinRelativeChange = 0.05;  // smaller changes of a limit are not reported
 
-int Worthiest(const pebblenotch::Settings& site) {
+int MostValuableClass(const pebblenotch::Settings& site) {
   if (site.classes.size() < 2) return -1;
-  const auto most = std::max_element(site.classes.begin(), site.classes.end(),
+  const auto best = std::max_element(site.classes.begin(), site.classes.end(),
                                      [](const auto& a, const auto& b) { return a.worth < b.worth; });
-  return static_cast<int>(most - site.classes.begin());
+  return static_cast<int>(best - site.classes.begin());
 }
 
-bool Moved(double before, double after) {
-  return std::abs(after - before) > kFigureStep * std::max(std::abs(before), std::abs(after));
+bool ChangedEnough(double before, double after) {
+  return std::abs(after - before) > kMinRelativeChange * std::max(std::abs(before), std::abs(after));
 }
 
 }  // namespace
@@ -28,153 +28,158 @@
     : settings_(settings),
       clients_(settings.clients, seed),
       fleet_(site.slow_start_floor, std::max<Micros>(1, site.slow_start_time)),
-      intake_(settings.concurrency, static_cast<int>(site.classes.size())),
-      budget_(settings.retries, static_cast<int>(site.classes.size()), Worthiest(site)),
-      watch_(settings.storm),
-      class_watches_(site.classes.size(), StormDetector(settings.storm)),
-      newcomers_(settings.storm.window),
-      calendar_(settings.retry_schedule, seed + 1, [this](Micros at) { return ReturnsAt(at); }) {}
-
-bool Limits::Uncalm(int job_class) const {
-  const auto in = [](const StormDetector& w) { return w.state() != StormState::kCalm; };
-  return in(watch_) || in(class_watches_[static_cast<std::size_t>(job_class)]);
+      concurrency_(settings.concurrency, static_cast<int>(site.classes.size())),
+      retry_budget_(settings.retries, static_cast<int>(site.classes.size()), MostValuableClass(site)),
+      storm_(settings.storm),
+      class_storms_(site.classes.size(), StormDetector(settings.storm)),
+      new_jobs_(settings.storm.window),
+      schedule_(settings.retry_schedule, seed + 1, [this](Micros at) { return RetryCapacityAt(at); }) {}
+
+bool Limits::IsNotCalm(int job_class) const {
+  const auto not_calm = [](const StormDetector& s) { return s.state() != StormState::kCalm; };
+  return not_calm(storm_) || not_calm(class_storms_[static_cast<std::size_t>(job_class)]);
 }
 
-// What the fleet can carry then, less what newcomers bring, but never less than the returns' own part: else a
-// crowd of newcomers would put off those who were asked to wait for ever.
-double Limits::ReturnsAt(Micros at) const {
-  const double carries =
-      intake_.PerWorker() * fleet_.StrengthAt(at) * settings_.retry_schedule.capacity_share;
-  return std::max(carries - newcomers_per_s_, carries * settings_.retry_schedule.min_retry_share);
+// The predicted capacity of the fleet less the load from new clients, but at least the minimum share for
+// retries: otherwise a crowd of new clients could delay those that were told to wait without end.
+double Limits::RetryCapacityAt(Micros at) const {
+  const double capacity =
+      concurrency_.JobsPerWorkerSecond() * fleet_.CapacityAt(at) * settings_.retry_schedule.capacity_share;
+  return std::max(capacity - new_jobs_per_s_, capacity * settings_.retry_schedule.min_retry_share);
 }
 
-Limits::Arrival Limits::Arrived(Micros now, int job_class, ClientHash client, bool marked, bool names_job) {
-  Arrival came;
+Limits::Arrival Limits::Arrived(Micros now, int job_class, ClientHash client, bool marked_retry,
+                                bool names_job) {
+  Arrival arrival;
   const auto known = clients_.Touch(now, client);
-  came.is_retry = marked || known.slot != 0 || (names_job && known.seen);
-  counters_.retries += came.is_retry ? 1 : 0;
-  watch_.Arrived(now, came.is_retry);
-  class_watches_[static_cast<std::size_t>(job_class)].Arrived(now, came.is_retry);
-  const double cost = intake_.CostOf(job_class);
-  if (known.slot != 0) {
-    // In calm a client that comes early is welcome: there is room for it.
-    came.early_by = watch_.state() == StormState::kCalm ? 0 : calendar_.EarlyBy(now, known.slot);
-    if (came.early_by > 0) {
-      came.return_timing = ReturnTiming::kEarly;
+  arrival.is_retry = marked_retry || known.retry_at != 0 || (names_job && known.seen);
+  counters_.retries += arrival.is_retry ? 1 : 0;
+  storm_.Arrived(now, arrival.is_retry);
+  class_storms_[static_cast<std::size_t>(job_class)].Arrived(now, arrival.is_retry);
+  const double cost = concurrency_.RelativeCost(job_class);
+  if (known.retry_at != 0) {
+    // In the calm state there is free capacity, so an early client is treated as on time.
+    arrival.early_by = storm_.state() == StormState::kCalm ? 0 : schedule_.EarlyBy(now, known.retry_at);
+    if (arrival.early_by > 0) {
+      arrival.return_timing = ReturnTiming::kEarly;
       ++counters_.early_retries;
-      return came;
+      return arrival;
     }
-    clients_.SetSlot(now, client, 0);
-    if (calendar_.Claim(now, known.slot, cost)) came.return_timing = ReturnTiming::kDue;
-    if (came.return_timing != ReturnTiming::kDue) ++counters_.oversubscribed_retries;
-  } else if (client == 0 && marked) {
-    // Of those that cannot be named, some one's time has come, or nobody's: then it came early. Guards those
-    // who wait against those who come again at once.
-    if (calendar_.ClaimAnonymous(now, cost)) {
-      came.return_timing = ReturnTiming::kDue;
-    } else if (watch_.state() != StormState::kCalm && calendar_.AnyAnonymous()) {
-      came.return_timing = ReturnTiming::kEarly;
+    clients_.SetRetryTime(now, client, 0);
+    if (schedule_.Claim(now, known.retry_at, cost)) arrival.return_timing = ReturnTiming::kDue;
+    if (arrival.return_timing != ReturnTiming::kDue) ++counters_.oversubscribed_retries;
+  } else if (client == 0 && marked_retry) {
+    // An anonymous retry claims any anonymous retry time that is due. If none is due, it is early, so that
+    // clients that retry at once do not go before those that wait.
+    if (schedule_.ClaimAnonymous(now, cost)) {
+      arrival.return_timing = ReturnTiming::kDue;
+    } else if (storm_.state() != StormState::kCalm && schedule_.AnyAnonymous()) {
+      arrival.return_timing = ReturnTiming::kEarly;
       ++counters_.early_retries;
-      return came;
+      return arrival;
     }
   }
-  if (came.return_timing == ReturnTiming::kDue) {
+  if (arrival.return_timing == ReturnTiming::kDue) {
     ++counters_.on_time_retries;
   } else {
-    newcomers_.Add(now, cost);
+    new_jobs_.Add(now, cost);
   }
-  return came;
+  return arrival;
 }
 
-Micros Limits::RequestShed(Micros now, int job_class, ClientHash client, Micros advice, const Arrival& came) {
-  watch_.Refused(now);
-  class_watches_[static_cast<std::size_t>(job_class)].Refused(now);
-  if (came.early_by > 0) return came.early_by;  // its time stands as it was told
-  if (came.return_timing == ReturnTiming::kEarly)
-    return calendar_.AnonymousWait(now);  // and so does one without a name
-  refused_ = now;
-  // Nothing is known of what the fleet can carry: the module's own advice is all there is.
-  if (intake_.PerWorker() <= 0 || !fleet_.known()) return advice;
-  const auto booking = calendar_.Book(now, advice, intake_.CostOf(job_class), client == 0);
-  ++(booking.booked ? counters_.scheduled_sheds : counters_.unscheduled_sheds);
-  // Beyond the calendar's end there is no turn to give, but the time told holds: hammering gains nothing.
-  clients_.SetSlot(now, client, booking.at);
-  return booking.at - now;
+Micros Limits::RequestShed(Micros now, int job_class, ClientHash client, Micros advised_wait,
+                           const Arrival& arrival) {
+  storm_.RequestShed(now);
+  class_storms_[static_cast<std::size_t>(job_class)].RequestShed(now);
+  if (arrival.early_by > 0) return arrival.early_by;  // its retry time stays as assigned
+  if (arrival.return_timing == ReturnTiming::kEarly)
+    return schedule_.AnonymousWait(now);  // not counted again
+  last_shed_at_ = now;
+  // The fleet's capacity is not known yet, so there is only the module's advice.
+  if (concurrency_.JobsPerWorkerSecond() <= 0 || !fleet_.known()) return advised_wait;
+  const auto reservation =
+      schedule_.Reserve(now, advised_wait, concurrency_.RelativeCost(job_class), client == 0);
+  ++(reservation.reserved ? counters_.scheduled_sheds : counters_.unscheduled_sheds);
+  // Beyond the end of the schedule there is no reservation, but the retry time still applies, so that
+  // retrying early gains nothing.
+  clients_.SetRetryTime(now, client, reservation.retry_at);
+  return reservation.retry_at - now;
 }
 
 void Limits::HopSent(Micros now, int job_class, bool further) {
-  out_ += 1;
-  watch_.HopSent(now);
-  class_watches_[static_cast<std::size_t>(job_class)].HopSent(now);
+  hops_in_flight_ += 1;
+  storm_.HopSent(now);
+  class_storms_[static_cast<std::size_t>(job_class)].HopSent(now);
   if (further) {
     ++counters_.further_hops;
-    budget_.FurtherHop(now, job_class);
+    retry_budget_.FurtherHop(now, job_class);
   } else {
     ++counters_.first_hops;
-    budget_.FirstHop(now, job_class, Uncalm(job_class));
+    retry_budget_.FirstHop(now, job_class, IsNotCalm(job_class));
   }
 }
 
-void Limits::HopEnded(Micros now, int job_class, Result result, Micros time, bool waiting) {
-  const double out = std::exchange(out_, std::max(0.0, out_ - 1));
+void Limits::HopEnded(Micros now, int job_class, Result result, Micros duration, bool waiting) {
+  const double in_flight = std::exchange(hops_in_flight_, std::max(0.0, hops_in_flight_ - 1));
   const bool failed = result == Result::kError || result == Result::kTimeout ||
                       result == Result::kConnectFailed || result == Result::kReset;
   if (failed) {
-    watch_.HopFailed(now);
-    class_watches_[static_cast<std::size_t>(job_class)].HopFailed(now);
+    storm_.HopFailed(now);
+    class_storms_[static_cast<std::size_t>(job_class)].HopFailed(now);
   }
-  if (result == Result::kTimeout) intake_.TimedOut(now, job_class, time);
+  if (result == Result::kTimeout) concurrency_.HopTimedOut(now, job_class, duration);
   if (result != Result::kOk) return;
-  const bool saturated = waiting || (refused_ >= 0 && now - refused_ < kSaturated);
-  intake_.Finished(now, job_class, time, out, fleet_.StrengthAt(now), saturated);
+  const bool saturated = waiting || (last_shed_at_ >= 0 && now - last_shed_at_ < kSaturationTime);
+  concurrency_.HopCompleted(now, job_class, duration, in_flight, fleet_.CapacityAt(now), saturated);
 }
 
-void Limits::RoutesChanged(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole) {
-  fleet_.Take(now, entries, whole);
-  renewed_ = -1;  // the calendar follows at the next look
-  looked_ = -1;
+void Limits::RoutesChanged(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool is_full) {
+  fleet_.Apply(now, entries, is_full);
+  forecast_updated_at_ = -1;  // so that the next update renews the forecast
+  evaluated_at_ = -1;
 }
 
 std::optional<HostLimits> Limits::Update(Micros now) {
-  HostLimits next = given_.value_or(HostLimits{});
-  if (looked_ < 0 || now - looked_ >= kLook) {
-    looked_ = now;
-    const double missing = fleet_.MissingShare(now), strength = fleet_.StrengthAt(now);
-    next.starts_per_s = intake_.StartsPerSecond(now, strength);
-    next.max_outstanding = std::floor(intake_.MostOut());
-    newcomers_per_s_ = newcomers_.Sum(now) * 1e6 / static_cast<double>(settings_.storm.window);
-    if (renewed_ < 0 || now - renewed_ >= kRenew) {
-      renewed_ = now;
-      calendar_.Renew(now);
+  HostLimits next = last_update_.value_or(HostLimits{});
+  if (evaluated_at_ < 0 || now - evaluated_at_ >= kEvaluationPeriod) {
+    evaluated_at_ = now;
+    const double missing = fleet_.MissingShare(now), capacity = fleet_.CapacityAt(now);
+    next.starts_per_s = concurrency_.StartsPerSecond(now, capacity);
+    next.max_outstanding = std::floor(concurrency_.MaxInFlight());
+    new_jobs_per_s_ = new_jobs_.Sum(now) * 1e6 / static_cast<double>(settings_.storm.window);
+    if (forecast_updated_at_ < 0 || now - forecast_updated_at_ >= kForecastPeriod) {
+      forecast_updated_at_ = now;
+      schedule_.UpdateForecast(now);
     }
-    const auto step = [&](StormDetector& watch, int job_class) {
-      watch.FleetIs(missing);
+    const auto evaluate = [&](StormDetector& detector, int job_class) {
+      detector.SetMissingShare(missing);
       StormDetector::Change change;
-      if (watch.Step(now, change))
-        changes_.push_back({job_class, change, missing, next.starts_per_s, calendar_.booked(now)});
+      if (detector.Update(now, change))
+        changes_.push_back({job_class, change, missing, next.starts_per_s, schedule_.ReservedJobs(now)});
     };
-    step(watch_, -1);
-    for (std::size_t c = 0; c < class_watches_.size(); ++c) step(class_watches_[c], static_cast<int>(c));
-    counters_.storms = watch_.storms();
-    next.shed_late = watch_.state() == StormState::kStorm || watch_.state() == StormState::kEasing;
+    evaluate(storm_, -1);
+    for (std::size_t c = 0; c < class_storms_.size(); ++c) evaluate(class_storms_[c], static_cast<int>(c));
+    counters_.storms = storm_.storms();
+    next.shed_late = storm_.state() == StormState::kStorm || storm_.state() == StormState::kEasing;
   }
   next.slack_share = settings_.concurrency.slack_share;
-  next.retryable_classes = budget_.Allowed(now);
-  const bool same = given_ && !Moved(given_->starts_per_s, next.starts_per_s) &&
-                    !Moved(given_->max_outstanding, next.max_outstanding) &&
-                    given_->shed_late == next.shed_late &&
-                    given_->retryable_classes == next.retryable_classes;
+  next.retryable_classes = retry_budget_.AllowedClasses(now);
+  const bool same = last_update_ && !ChangedEnough(last_update_->starts_per_s, next.starts_per_s) &&
+                    !ChangedEnough(last_update_->max_outstanding, next.max_outstanding) &&
+                    last_update_->shed_late == next.shed_late &&
+                    last_update_->retryable_classes == next.retryable_classes;
   if (same) return std::nullopt;
-  if (given_ && (given_->retryable_classes & ~next.retryable_classes) != 0) ++counters_.budget_exhausted;
-  given_ = next;
+  if (last_update_ && (last_update_->retryable_classes & ~next.retryable_classes) != 0)
+    ++counters_.budget_exhausted;
+  last_update_ = next;
   return next;
 }
 
 std::optional<StormChange> Limits::NextChange(Micros) {
   if (changes_.empty()) return std::nullopt;
-  StormChange first = changes_.front();
+  StormChange oldest = changes_.front();
   changes_.erase(changes_.begin());
-  return first;
+  return oldest;
 }
 
 }  // namespace heronway::limits
--- a/src/limits/limits.h
+++ b/src/limits/limits.h
@@ -1,8 +1,8 @@
-// The limits as the reducer sees them: told what happens, asked what the decision module is to be given and
-// what a refused client is to be told. No I/O, no clock, deterministic for a seed.
+// The limits as used by the reducer, which reports events and queries the limits for the decision module and
+// the retry times for shed clients. No I/O, no clock, deterministic for a given seed.
 //
-// What it decides: whether a storm is on, how large the budgets are, who came in time. Which job goes where,
-// is repeated or is refused stays the decision module's, by these figures.
+// This class decides whether there is a storm, how large the budgets are and which clients retry on time. The
+// decision module, using these figures, decides where each job goes and whether it is retried or shed.
 #ifndef HERONWAY_LIMITS_LIMITS_H_
 #define HERONWAY_LIMITS_LIMITS_H_
 
@@ -24,24 +24,25 @@
 using pebblenotch::ReturnTiming;
 
 struct Counters {
-  std::uint64_t retries = 0;                 // arrivals that were repeats
-  std::uint64_t on_time_retries = 0;         // that came in their time, and went before newcomers
-  std::uint64_t early_retries = 0;           // that came too early, and were refused with the time left
-  std::uint64_t oversubscribed_retries = 0;  // in their time, but the fleet had shrunk meanwhile
-  std::uint64_t scheduled_sheds = 0;         // refusals with a time of their own
-  std::uint64_t unscheduled_sheds = 0;       // refusals beyond the calendar's end
+  std::uint64_t retries = 0;          // arrivals that were client retries
+  std::uint64_t on_time_retries = 0;  // arrived on time and went before new clients
+  std::uint64_t early_retries = 0;    // arrived too early and were told the remaining wait
+  // Not early but without priority: late, or the schedule had shrunk since.
+  std::uint64_t oversubscribed_retries = 0;
+  std::uint64_t scheduled_sheds = 0;    // sheds with a reserved retry time
+  std::uint64_t unscheduled_sheds = 0;  // sheds beyond the end of the schedule
   std::uint64_t first_hops = 0, further_hops = 0;
-  std::uint64_t budget_exhausted = 0;  // figures given that left a class without a further hop
+  std::uint64_t budget_exhausted = 0;  // updates that withdrew further hops from a class
   std::uint64_t storms = 0;
 };
 
-// A change of the storm's state; `job_class` -1: of the whole.
+// A change of the storm state. `job_class` is -1 for the state of all traffic.
 struct StormChange {
   int job_class;
   StormDetector::Change change;
-  double missing_share;      // of the fleet's strength
-  double starts_per_s;       // of held jobs
-  double scheduled_retries;  // returns that are due, in mean jobs
+  double missing_share;      // of the fleet's usual capacity
+  double starts_per_s;       // held jobs that start per second
+  double scheduled_retries;  // retries reserved from now on, in mean jobs
 };
 
 class Limits {
@@ -54,53 +55,58 @@
     return clients_.HashOf(client, static_cast<std::uint64_t>(job_class));
   }
 
-  // A request came. `marked`: its client says that it is a repeat. `names_job`: so does a name that was seen
-  // of late; else the name tells only whose turn it is.
+  // A request arrived. `marked_retry`: its client marked it as a retry. `names_job`: the client's name
+  // identifies the job, so that a recently seen name also means a retry; otherwise the name is only used to
+  // look up the client's retry time.
   struct Arrival {
     ReturnTiming return_timing = ReturnTiming::kNew;
     bool is_retry = false;
-    Micros early_by = 0;  // with kEarly, for one that was told a time by name
+    Micros early_by = 0;  // with kEarly, if the client has a retry time of its own
   };
-  Arrival Arrived(Micros now, int job_class, ClientHash client, bool marked, bool names_job);
-  // The module refused it, advising a wait. Gives the wait to tell.
-  Micros RequestShed(Micros now, int job_class, ClientHash client, Micros advice, const Arrival& came);
+  Arrival Arrived(Micros now, int job_class, ClientHash client, bool marked_retry, bool names_job);
+  // The module shed the request, advising a wait. Returns the wait to tell the client.
+  Micros RequestShed(Micros now, int job_class, ClientHash client, Micros advised_wait,
+                     const Arrival& arrival);
+  // `further`: it is not the first hop of its job.
   void HopSent(Micros now, int job_class, bool further);
-  // `time`: since it was sent. `waiting`: jobs are held or were refused of late.
-  void HopEnded(Micros now, int job_class, Result result, Micros time, bool waiting);
-  void RoutesChanged(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool whole);
-  void Connected(Micros now) { watch_.Connected(now); }
+  // `duration`: since the hop was sent. `waiting`: jobs are waiting to be sent.
+  void HopEnded(Micros now, int job_class, Result result, Micros duration, bool waiting);
+  void RoutesChanged(Micros now, std::span<const pebblenotch::WorkerEntry> entries, bool is_full);
+  void Connected(Micros now) { storm_.Connected(now); }
 
-  // The figures for the module, where they differ from what it has; ask before it is told of anything.
+  // The limits for the module if they differ from those it has; to be called before each event for the
+  // module.
   std::optional<HostLimits> Update(Micros now);
-  // Changes of state since the last call; ask until there is none.
+  // The oldest storm state change not returned yet; to be called until there is none.
   std::optional<StormChange> NextChange(Micros now);
 
-  StormState state() const { return watch_.state(); }
+  StormState state() const { return storm_.state(); }
   const Counters& counters() const { return counters_; }
   std::size_t bytes() const { return clients_.bytes(); }
 
  private:
-  bool Uncalm(int job_class) const;
-  double ReturnsAt(Micros at) const;
+  // Whether the state of all traffic or of the class is other than calm.
+  bool IsNotCalm(int job_class) const;
+  double RetryCapacityAt(Micros at) const;
 
   Settings settings_;
   ClientTable clients_;
   FleetCapacity fleet_;
-  ConcurrencyLimit intake_;
-  RetryBudget budget_;
-  StormDetector watch_;
-  std::vector<StormDetector> class_watches_;
-  Window newcomers_;  // in mean jobs
-  double newcomers_per_s_ = 0;
-  RetrySchedule calendar_;
+  ConcurrencyLimit concurrency_;
+  RetryBudget retry_budget_;
+  StormDetector storm_;
+  std::vector<StormDetector> class_storms_;
+  Window new_jobs_;  // of new clients, in mean jobs
+  double new_jobs_per_s_ = 0;
+  RetrySchedule schedule_;
   Counters counters_;
-  std::optional<HostLimits> given_;
-  Micros looked_ = -1, renewed_ = -1, refused_ = -1;
-  double out_ = 0;
-  std::vector<StormChange> changes_;
+  std::optional<HostLimits> last_update_;                                    // as last returned to the module
+  Micros evaluated_at_ = -1, forecast_updated_at_ = -1, last_shed_at_ = -1;  // -1: never
+  double hops_in_flight_ = 0;
+  std::vector<StormChange> changes_;  // not returned yet
 
-  static constexpr Micros kLook = 20'000;      // the watch is stepped and figures are made this often
-  static constexpr Micros kRenew = 1'000'000;  // and the calendar's forecast
+  static constexpr Micros kEvaluationPeriod = 20'000;   // of the storm state and the limits
+  static constexpr Micros kForecastPeriod = 1'000'000;  // of the retry schedule's forecast
 };
 
 }  // namespace heronway::limits
--- a/src/limits/rate_limits.h
+++ b/src/limits/rate_limits.h
@@ -1,7 +1,7 @@
-// Named rate limits, by key: token buckets in a fixed table, however many keys there are.
+// Named rate limits per key: token buckets in a table of fixed size.
 //
-// Four places a set, chosen by a seeded XXH3 of rate and key. In a full set the bucket that was touched
-// longest ago makes room; whoever comes back for it finds a full bucket, which errs for the client.
+// The table is 4-way set associative; a seeded XXH3 of rate and key selects the set. A full set evicts its
+// least recently used bucket. A key whose bucket was evicted starts with a full one, in the client's favour.
 #ifndef HERONWAY_LIMITS_RATE_LIMITS_H_
 #define HERONWAY_LIMITS_RATE_LIMITS_H_
 
@@ -16,21 +16,21 @@
 
 class RateLimits {
  public:
-  // `places`: a power of two, 4 to 2^22; 24 bytes each.
-  RateLimits(std::size_t places, std::uint64_t seed);
+  // `max_buckets`: a power of two, 4 to 2^22; 24 bytes each.
+  RateLimits(std::size_t max_buckets, std::uint64_t seed);
 
-  // Takes one token of the key's bucket, which fills at `per_s` up to `burst`. Gives 0 where there was one,
-  // else the microseconds until there is. O(1), no allocation.
+  // Takes one token from the key's bucket of the limit numbered `rate`, which refills at `per_s` up to
+  // `burst`. Returns 0 if there was one, otherwise the microseconds until there is. O(1), no allocation.
   Micros Take(Micros now, std::uint32_t rate, std::string_view key, double per_s, double burst);
 
  private:
-  struct Place {
+  struct Bucket {
     std::uint64_t hash = 0;  // 0: empty
     float tokens = 0;
-    Micros at = 0;
+    Micros refilled_at = 0;
   };
   std::uint64_t seed_;
-  std::vector<std::array<Place, 4>> sets_;
+  std::vector<std::array<Bucket, 4>> sets_;
 };
 
 }  // namespace heronway::limits
--- a/src/limits/window.h
+++ b/src/limits/window.h
@@ -1,4 +1,5 @@
-// Counts over a sliding window, in sixteen steps: fixed memory, O(1) for a count, whatever the clock does.
+// Sums counts over a sliding window of sixteen buckets: fixed memory, O(1) per count, safe against clock
+// steps.
 #ifndef HERONWAY_LIMITS_WINDOW_H_
 #define HERONWAY_LIMITS_WINDOW_H_
 
@@ -12,49 +13,50 @@
 
 class Window {
  public:
-  explicit Window(Micros length) : step_(std::max<Micros>(1, length / kSteps)) {}
+  explicit Window(Micros length) : bucket_length_(std::max<Micros>(1, length / kBuckets)) {}
 
   void Add(Micros now, double count) {
     Advance(now);
-    steps_[at_] += count;
+    buckets_[current_] += count;
     sum_ += count;
   }
-  // The count of the window that ends now.
+  // The sum over the window that ends now.
   double Sum(Micros now) {
     Advance(now);
     return sum_;
   }
-  // Counts a second, over the part of the window that has passed since the first count.
+  // Counts per second, over the part of the window that has elapsed since the first count.
   double Rate(Micros now) {
     Advance(now);
-    if (began_ < 0) return 0;
-    const Micros covered = std::clamp<Micros>(now - began_, step_, step_ * static_cast<Micros>(kSteps));
-    return sum_ * 1e6 / static_cast<double>(covered);
+    if (first_count_at_ < 0) return 0;
+    const Micros elapsed = std::clamp<Micros>(now - first_count_at_, bucket_length_,
+                                              bucket_length_ * static_cast<Micros>(kBuckets));
+    return sum_ * 1e6 / static_cast<double>(elapsed);
   }
 
  private:
-  static constexpr std::size_t kSteps = 16;
-  // Guards against a clock that steps: forward, at most the whole window is emptied; backward, the present
-  // step goes on.
+  static constexpr std::size_t kBuckets = 16;
+  // Drops expired buckets. If the clock steps forward, at most the whole window is emptied; if it steps
+  // backward, the current bucket stays in use.
   void Advance(Micros now) {
-    if (began_ < 0) began_ = head_ = now;
-    for (std::size_t n = 0; now - head_ >= step_; ++n) {
-      if (n == kSteps) {
-        head_ = now;
+    if (first_count_at_ < 0) first_count_at_ = current_start_ = now;
+    for (std::size_t n = 0; now - current_start_ >= bucket_length_; ++n) {
+      if (n == kBuckets) {
+        current_start_ = now;
         break;
       }
-      at_ = (at_ + 1) % kSteps;
-      sum_ -= steps_[at_];
-      steps_[at_] = 0;
-      head_ += step_;
+      current_ = (current_ + 1) % kBuckets;
+      sum_ -= buckets_[current_];
+      buckets_[current_] = 0;
+      current_start_ += bucket_length_;
     }
     if (sum_ < 1e-9) sum_ = 0;
   }
 
-  Micros step_;
-  Micros began_ = -1, head_ = 0;
-  std::array<double, kSteps> steps_{};
-  std::size_t at_ = 0;
+  Micros bucket_length_;
+  Micros first_count_at_ = -1, current_start_ = 0;
+  std::array<double, kBuckets> buckets_{};
+  std::size_t current_ = 0;
   double sum_ = 0;
 };
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the limits, each caused to meet what it guards against.
+// Tests for the components of the limits, each under the conditions that it guards against.
 #include "src/limits/limits.h"
 
 #include <gtest/gtest.h>
@@ -16,52 +16,50 @@
 
 constexpr Micros kMs = 1'000, kS = 1'000'000, kStart = 1'000 * kS;
 
-// ---- clients
-TEST(ClientTable, KnowsWhoCameLatelyAndForgetsInTime) {
+TEST(ClientTable, RecognizesRecentClientsAndForgetsOldOnes) {
   ClientTable table({256, 10 * kS}, 1);
   const auto a = table.HashOf("a", 0);
-  EXPECT_NE(a, table.HashOf("a", 1));  // another class is another client
+  EXPECT_NE(a, table.HashOf("a", 1));  // the same name in another class is another client
   EXPECT_EQ(table.HashOf("", 0), 0u);
   EXPECT_FALSE(table.Touch(kStart, a).seen);
   EXPECT_TRUE(table.Touch(kStart + 9 * kS, a).seen);
   EXPECT_FALSE(table.Touch(kStart + 20 * kS, a).seen);
-  table.SetSlot(kStart + 20 * kS, a, kStart + 25 * kS);
-  EXPECT_EQ(table.Touch(kStart + 21 * kS, a).slot, kStart + 25 * kS);
+  table.SetRetryTime(kStart + 20 * kS, a, kStart + 25 * kS);
+  EXPECT_EQ(table.Touch(kStart + 21 * kS, a).retry_at, kStart + 25 * kS);
 }
 
-TEST(ClientTable, CraftedKeysFillNoMoreThanTheTableAndMissTheOthers) {
-  // A crowd can choose names, but not the seed: what it finds to collide under one seed does not under
-  // another.
-  ClientTable mine({256, 60 * kS}, 7), theirs({256, 60 * kS}, 8);
-  std::vector<std::string> crafted;  // names that all fall into one set of their own table
+TEST(ClientTable, NamesCraftedToCollideDoNotCollideUnderAnotherSeed) {
+  // Clients can choose names but not the seed: names that collide under one seed do not under another.
+  ClientTable table({256, 60 * kS}, 7), attacker_table({256, 60 * kS}, 8);
+  std::vector<std::string> crafted;  // names that all map to one set of the attacker's table
   for (int i = 0; crafted.size() < 200; ++i) {
     const std::string name = "x" + std::to_string(i);
-    if (theirs.HashOf(name, 0) % 64 == 5) crafted.push_back(name);
+    if (attacker_table.HashOf(name, 0) % 64 == 5) crafted.push_back(name);
   }
-  const std::size_t before = mine.bytes();
+  const std::size_t before = table.bytes();
   std::set<std::uint64_t> sets;
   for (const auto& name : crafted) {
-    mine.Touch(kStart, mine.HashOf(name, 0));
-    sets.insert(mine.HashOf(name, 0) % 64);
+    table.Touch(kStart, table.HashOf(name, 0));
+    sets.insert(table.HashOf(name, 0) % 64);
   }
-  EXPECT_EQ(mine.bytes(), before);
+  EXPECT_EQ(table.bytes(), before);
   EXPECT_GT(sets.size(), 48u);
 }
 
-TEST(ClientTable, InAFullSetTheOneHeardOfLongestAgoMakesRoom) {
+TEST(ClientTable, FullSetEvictsTheLeastRecentlySeenClient) {
   ClientTable table({256, 60 * kS}, 7);
-  std::vector<ClientHash> met;  // five that fall into one set
-  for (int i = 0; met.size() < 5; ++i) {
-    if (const auto hash = table.HashOf("x" + std::to_string(i), 0); hash % 64 == 5) met.push_back(hash);
+  std::vector<ClientHash> colliding;  // five that map to one set
+  for (int i = 0; colliding.size() < 5; ++i) {
+    if (const auto hash = table.HashOf("x" + std::to_string(i), 0); hash % 64 == 5) colliding.push_back(hash);
   }
-  for (int i = 0; i < 4; ++i) table.Touch(kStart + i * kS, met[static_cast<std::size_t>(i)]);
-  table.Touch(kStart + 4 * kS, met[0]);
-  table.Touch(kStart + 5 * kS, met[4]);  // in the place of the second
-  EXPECT_TRUE(table.Touch(kStart + 6 * kS, met[0]).seen);
-  EXPECT_FALSE(table.Touch(kStart + 6 * kS, met[1]).seen);
+  for (int i = 0; i < 4; ++i) table.Touch(kStart + i * kS, colliding[static_cast<std::size_t>(i)]);
+  table.Touch(kStart + 4 * kS, colliding[0]);
+  table.Touch(kStart + 5 * kS, colliding[4]);  // replaces the second
+  EXPECT_TRUE(table.Touch(kStart + 6 * kS, colliding[0]).seen);
+  EXPECT_FALSE(table.Touch(kStart + 6 * kS, colliding[1]).seen);
 }
 
-TEST(ClientTable, AClockThatStepsBackForgetsNobodyForGood) {
+TEST(ClientTable, ClockStepBackwardForgetsNoClientForGood) {
   ClientTable table({256, 10 * kS}, 1);
   const auto a = table.HashOf("a", 0);
   table.Touch(kStart, a);
@@ -69,96 +67,95 @@
   EXPECT_TRUE(table.Touch(kStart, a).seen);
 }
 
-// ---- storm watch
-struct Watched {
-  explicit Watched(StormSettings s = {}) : watch(s) {}
-  // A second of arrivals, `repeats` and `refused` of a hundred.
-  void Second(int repeats, int refused) {
+struct StormFixture {
+  explicit StormFixture(StormSettings s = {}) : detector(s) {}
+  // Plays a second with 100 arrivals, of which `retries` are retries and `sheds` are shed.
+  void PlaySecond(int retries, int sheds) {
     for (int i = 0; i < 100; ++i) {
       now += 10 * kMs;
-      watch.Arrived(now, i < repeats);
-      if (i < refused) watch.Refused(now);
+      detector.Arrived(now, i < retries);
+      if (i < sheds) detector.RequestShed(now);
       StormDetector::Change change;
-      if (watch.Step(now, change)) changes.push_back(change);
+      if (detector.Update(now, change)) changes.push_back(change);
     }
   }
   Micros now = kStart;
-  StormDetector watch;
+  StormDetector detector;
   std::vector<StormDetector::Change> changes;
-  std::vector<Micros> at;
+  std::vector<Micros> change_times;
 };
 
-TEST(StormDetector, RisesStormsEasesAndCalmsOnceEachWithReasons) {
-  Watched w;
-  for (int i = 0; i < 5; ++i) w.Second(1, 0);
-  EXPECT_TRUE(w.changes.empty());
-  for (int i = 0; i < 5; ++i) w.Second(80, 30);
-  EXPECT_EQ(w.watch.state(), StormState::kStorm);
-  for (int i = 0; i < 12; ++i) w.Second(0, 0);
-  ASSERT_EQ(w.changes.size(), 4u);
-  EXPECT_EQ(w.changes[0].to, StormState::kRising);
-  EXPECT_EQ(w.changes[0].reason, Signal::kRetries);
-  EXPECT_EQ(w.changes[2].to, StormState::kEasing);
-  EXPECT_EQ(w.watch.state(), StormState::kCalm);
-  EXPECT_EQ(w.watch.storms(), 1u);
+TEST(StormDetector, PassesThroughEachStateOnceAndNamesTheSignal) {
+  StormFixture f;
+  for (int i = 0; i < 5; ++i) f.PlaySecond(1, 0);
+  EXPECT_TRUE(f.changes.empty());
+  for (int i = 0; i < 5; ++i) f.PlaySecond(80, 30);
+  EXPECT_EQ(f.detector.state(), StormState::kStorm);
+  for (int i = 0; i < 12; ++i) f.PlaySecond(0, 0);
+  ASSERT_EQ(f.changes.size(), 4u);
+  EXPECT_EQ(f.changes[0].to, StormState::kRising);
+  EXPECT_EQ(f.changes[0].reason, Signal::kRetries);
+  EXPECT_EQ(f.changes[2].to, StormState::kEasing);
+  EXPECT_EQ(f.detector.state(), StormState::kCalm);
+  EXPECT_EQ(f.detector.storms(), 1u);
 }
 
-TEST(StormDetector, DoesNotFlapAtALevelThatIsCrossedEverySecond) {
-  Watched w;
-  for (int i = 0; i < 40; ++i) w.Second(i % 2 == 0 ? 45 : 28, 0);  // about the storm level
-  EXPECT_LE(w.changes.size(), 3u);
+TEST(StormDetector, DoesNotFlapWhenALevelIsCrossedEverySecond) {
+  StormFixture f;
+  for (int i = 0; i < 40; ++i) f.PlaySecond(i % 2 == 0 ? 45 : 28, 0);  // around the storm level
+  EXPECT_LE(f.changes.size(), 3u);
 }
 
-// Both ways a level must hold: a moment's peak is no storm, and a moment's quiet is not its end.
-TEST(StormDetector, ALevelIsBelievedOnceItHeldAndLeftOnceItWasQuiet) {
-  Watched w({500 * kMs});
-  const auto feed = [&w](Micros time, int repeats) {  // of a hundred, evenly
-    for (const Micros end = w.now + time; w.now < end;) {
-      w.now += 10 * kMs;
-      const auto n = w.now / (10 * kMs);
-      w.watch.Arrived(w.now, n * repeats / 100 != (n - 1) * repeats / 100);
+// A level must persist both ways: a short peak does not start a storm and a short lull does not end it.
+TEST(StormDetector, LevelIsEnteredAfterConfirmAndLeftAfterSettle) {
+  StormFixture f({500 * kMs});
+  // Arrivals at 100 per second, `retry_percent` of them retries, evenly spread.
+  const auto feed = [&f](Micros duration, int retry_percent) {
+    for (const Micros end = f.now + duration; f.now < end;) {
+      f.now += 10 * kMs;
+      const auto n = f.now / (10 * kMs);
+      f.detector.Arrived(f.now, n * retry_percent / 100 != (n - 1) * retry_percent / 100);
       StormDetector::Change change;
-      if (!w.watch.Step(w.now, change)) continue;
-      w.changes.push_back(change);
-      w.at.push_back(w.now);
+      if (!f.detector.Update(f.now, change)) continue;
+      f.changes.push_back(change);
+      f.change_times.push_back(f.now);
     }
   };
   feed(kS, 0);
-  const Micros began = w.now;
-  feed(2 * kS, 100);  // 0.15 of the window is passed after 75 ms
-  ASSERT_EQ(w.watch.state(), StormState::kStorm);
-  EXPECT_GE(w.at[0] - began, 350 * kMs);
-  EXPECT_LE(w.at[0] - began, 500 * kMs);
-  feed(10 * kS, 28);  // under the level, and over two thirds of it
-  EXPECT_EQ(w.watch.state(), StormState::kStorm);
-  const Micros quiet = w.now;
+  const Micros storm_began = f.now;
+  feed(2 * kS, 100);  // exceeds 0.15 of the window after 75 ms
+  ASSERT_EQ(f.detector.state(), StormState::kStorm);
+  EXPECT_GE(f.change_times[0] - storm_began, 350 * kMs);
+  EXPECT_LE(f.change_times[0] - storm_began, 500 * kMs);
+  feed(10 * kS, 28);  // below the level but above two thirds of it
+  EXPECT_EQ(f.detector.state(), StormState::kStorm);
+  const Micros lull_began = f.now;
   feed(3 * kS, 0);
-  ASSERT_EQ(w.changes.size(), 3u);
-  EXPECT_EQ(w.watch.state(), StormState::kEasing);
-  EXPECT_GE(w.at[2] - quiet, 2 * kS);
+  ASSERT_EQ(f.changes.size(), 3u);
+  EXPECT_EQ(f.detector.state(), StormState::kEasing);
+  EXPECT_GE(f.change_times[2] - lull_began, 2 * kS);
   feed(2 * kS, 100);
-  EXPECT_EQ(w.watch.state(), StormState::kStorm);
-  EXPECT_EQ(w.watch.storms(), 1u);  // the same one
+  EXPECT_EQ(f.detector.state(), StormState::kStorm);
+  EXPECT_EQ(f.detector.storms(), 1u);  // the same storm
 }
 
-TEST(StormDetector, ARollingRestartOnAQuietDayIsNoStorm) {
-  Watched w;
-  w.watch.FleetIs(0.5);
-  for (int i = 0; i < 10; ++i) w.Second(1, 0);
-  EXPECT_EQ(w.watch.state(), StormState::kCalm);
+TEST(StormDetector, RollingRestartUnderLightLoadIsNoStorm) {
+  StormFixture f;
+  f.detector.SetMissingShare(0.5);
+  for (int i = 0; i < 10; ++i) f.PlaySecond(1, 0);
+  EXPECT_EQ(f.detector.state(), StormState::kCalm);
 }
 
-TEST(StormDetector, AClockStepBetweenArrivalsEmptiesTheWindowOnly) {
-  Watched w;
-  for (int i = 0; i < 3; ++i) w.Second(90, 50);
-  EXPECT_EQ(w.watch.state(), StormState::kStorm);
-  w.now += 3'600 * kS;
-  for (int i = 0; i < 8; ++i) w.Second(0, 0);
-  EXPECT_EQ(w.watch.state(), StormState::kCalm);
+TEST(StormDetector, ClockStepBetweenArrivalsOnlyEmptiesTheWindow) {
+  StormFixture f;
+  for (int i = 0; i < 3; ++i) f.PlaySecond(90, 50);
+  EXPECT_EQ(f.detector.state(), StormState::kStorm);
+  f.now += 3'600 * kS;
+  for (int i = 0; i < 8; ++i) f.PlaySecond(0, 0);
+  EXPECT_EQ(f.detector.state(), StormState::kCalm);
 }
 
-// ---- repeats
-TEST(RetryBudget, FurtherHopsStayAShareOfFirstOnesAndLessInAStorm) {
+TEST(RetryBudget, FurtherHopsAreAShareOfFirstHopsAndASmallerOneInAStorm) {
   for (const bool storm : {false, true}) {
     RetryBudget budget({0.2, 0.1, 0, 0, 10 * kS}, 1, -1);
     int further = 0;
@@ -174,10 +171,10 @@
   }
 }
 
-TEST(RetryBudget, TheReservedClassStillRepeatsWhenTheOthersHaveSpentAll) {
+TEST(RetryBudget, ReservedClassCanRetryWhenOthersHaveSpentTheSharedBudget) {
   RetryBudget budget({0.2, 0.1, 0, 0.25, 10 * kS}, 2, 1);
   Micros now = kStart;
-  int mine = 0;
+  int reserved_retries = 0;
   for (int i = 0; i < 1000; ++i) {
     now += kMs;
     budget.FirstHop(now, 0, false);
@@ -185,155 +182,155 @@
     if (i % 100 != 99) continue;
     while (budget.Allows(now, 1)) {
       budget.FurtherHop(now, 1);
-      ++mine;
+      ++reserved_retries;
     }
   }
-  EXPECT_NEAR(mine, 50, 6);  // a quarter of the deposits of a thousand first hops at a fifth each
+  EXPECT_NEAR(reserved_retries, 50, 6);  // a quarter of the deposits of 1000 first hops at 0.2 each
 }
 
-TEST(RetryBudget, AStormInOneClassLeavesTheOthersTheirs) {
+TEST(RetryBudget, StormInOneClassDoesNotSpendTheBudgetOfOthers) {
   RetryBudget budget({0.2, 0.1, 0, 0, 10 * kS}, 2, -1);
   Micros now = kStart;
-  int other = 0;
+  int other_retries = 0;
   for (int i = 0; i < 4000; ++i) {
     now += kMs;
     budget.FirstHop(now, i % 4 == 0 ? 0 : 1, false);
     for (int n = 0; n < 20 && budget.Allows(now, 0); ++n) budget.FurtherHop(now, 0);
     if (i % 8 == 0 && budget.Allows(now, 1)) {
       budget.FurtherHop(now, 1);
-      ++other;
+      ++other_retries;
     }
   }
-  EXPECT_GE(other, 350);  // of 500 that it asked for
+  EXPECT_GE(other_retries, 350);  // of 500 attempted
 }
 
-// ---- intake
-TEST(ConcurrencyLimit, ShrinksWhenHopsTakeLongerAndGrowsBack) {
-  ConcurrencyLimit intake({0.6, 1.5, 4, kS}, 1);
+TEST(ConcurrencyLimit, ShrinksWhenHopsTakeLongerAndRecovers) {
+  ConcurrencyLimit limit({0.6, 1.5, 4, kS}, 1);
   Micros now = kStart;
-  const auto play = [&](int n, Micros time) {
-    for (int i = 0; i < n; ++i) intake.Finished(now += 5 * kMs, 0, time, intake.MostOut(), 10, true);
+  const auto play = [&](int hops, Micros duration) {
+    for (int i = 0; i < hops; ++i)
+      limit.HopCompleted(now += 5 * kMs, 0, duration, limit.MaxInFlight(), 10, true);
   };
   play(400, 100 * kMs);
-  const double open = intake.MostOut();
+  const double before = limit.MaxInFlight();
   play(60, 800 * kMs);
-  EXPECT_LT(intake.MostOut(), open / 2);
-  EXPECT_GE(intake.MostOut(), 4);
+  EXPECT_LT(limit.MaxInFlight(), before / 2);
+  EXPECT_GE(limit.MaxInFlight(), 4);
   play(3000, 100 * kMs);
-  EXPECT_GT(intake.MostOut(), open / 2);
+  EXPECT_GT(limit.MaxInFlight(), before / 2);
 }
 
-TEST(ConcurrencyLimit, ADeadQuarterLowersTheRateOfStartsAtOnce) {
-  ConcurrencyLimit intake({0.6, 1.5, 4, kS}, 1);
+TEST(ConcurrencyLimit, LossOfAQuarterOfTheFleetLowersTheStartRateAtOnce) {
+  ConcurrencyLimit limit({0.6, 1.5, 4, kS}, 1);
   Micros now = kStart;
-  for (int i = 0; i < 1000; ++i) intake.Finished(now += 10 * kMs, 0, 200 * kMs, 10, 12, true);
-  EXPECT_NEAR(intake.StartsPerSecond(now, 12), 100, 5);
-  EXPECT_NEAR(intake.StartsPerSecond(now, 9), 75, 5);
-  EXPECT_NEAR(intake.PerWorker(), 100.0 / 12, 1);
+  for (int i = 0; i < 1000; ++i) limit.HopCompleted(now += 10 * kMs, 0, 200 * kMs, 10, 12, true);
+  EXPECT_NEAR(limit.StartsPerSecond(now, 12), 100, 5);
+  EXPECT_NEAR(limit.StartsPerSecond(now, 9), 75, 5);
+  EXPECT_NEAR(limit.JobsPerWorkerSecond(), 100.0 / 12, 1);
 }
 
-// ---- the fleet
-TEST(FleetCapacity, ColdWorkersAreTheRampThatTheyAre) {
+TEST(FleetCapacity, CapacityFollowsTheSlowStartOfWorkers) {
   FleetCapacity fleet(0.3, 10 * kS);
-  std::vector<pebblenotch::WorkerEntry> four(4);
-  for (std::size_t i = 0; i < 4; ++i) four[i].id = i + 1;
-  fleet.Take(kStart, four, true);
-  EXPECT_EQ(fleet.StrengthAt(kStart), 4);
-  pebblenotch::WorkerEntry one = four[0];
-  one.state = pebblenotch::WorkerState::kGone;
-  fleet.Take(kStart, {&one, 1}, false);
+  std::vector<pebblenotch::WorkerEntry> workers(4);
+  for (std::size_t i = 0; i < 4; ++i) workers[i].id = i + 1;
+  fleet.Apply(kStart, workers, true);
+  EXPECT_EQ(fleet.CapacityAt(kStart), 4);
+  pebblenotch::WorkerEntry worker = workers[0];
+  worker.state = pebblenotch::WorkerState::kGone;
+  fleet.Apply(kStart, {&worker, 1}, false);
   EXPECT_NEAR(fleet.MissingShare(kStart), 0.25, 1e-9);
-  one.state = pebblenotch::WorkerState::kReady;
-  one.started_at = kStart + 2 * kS;
-  fleet.Take(kStart + 3 * kS, {&one, 1}, false);
-  EXPECT_NEAR(fleet.StrengthAt(kStart + 2 * kS), 3.3, 1e-9);
-  EXPECT_NEAR(fleet.StrengthAt(kStart + 7 * kS), 3.65, 1e-9);
-  EXPECT_NEAR(fleet.StrengthAt(kStart + 12 * kS), 4, 1e-9);
+  worker.state = pebblenotch::WorkerState::kReady;
+  worker.started_at = kStart + 2 * kS;
+  fleet.Apply(kStart + 3 * kS, {&worker, 1}, false);
+  EXPECT_NEAR(fleet.CapacityAt(kStart + 2 * kS), 3.3, 1e-9);
+  EXPECT_NEAR(fleet.CapacityAt(kStart + 7 * kS), 3.65, 1e-9);
+  EXPECT_NEAR(fleet.CapacityAt(kStart + 12 * kS), 4, 1e-9);
 }
 
-// ---- returns
-struct Calendar {
-  explicit Calendar(double per_s) : rate(per_s), book({}, 5, [this](Micros) { return rate; }) {}
+struct ScheduleFixture {
+  explicit ScheduleFixture(double per_s) : rate(per_s), schedule({}, 5, [this](Micros) { return rate; }) {}
   double rate;
-  RetrySchedule book;
+  RetrySchedule schedule;
 };
 
-TEST(RetrySchedule, ACrowdIsSpreadAtTheRateThatTheFleetCarries) {
-  Calendar c(50);
+TEST(RetrySchedule, ClientsShedTogetherAreSpreadAtTheForecastRate) {
+  ScheduleFixture f(50);
   std::vector<int> by_second(11);
   for (int i = 0; i < 300; ++i) {
-    const auto b = c.book.Book(kStart, 100 * kMs, 1, false);
-    ASSERT_TRUE(b.booked);
-    ++by_second[static_cast<std::size_t>((b.at - kStart) / kS)];
+    const auto r = f.schedule.Reserve(kStart, 100 * kMs, 1, false);
+    ASSERT_TRUE(r.reserved);
+    ++by_second[static_cast<std::size_t>((r.retry_at - kStart) / kS)];
   }
   for (int s = 1; s < 5; ++s) EXPECT_NEAR(by_second[static_cast<std::size_t>(s)], 50, 6) << s;
 }
 
-TEST(RetrySchedule, AFullCalendarSaysSoAndNoWaitIsOverTheLongest) {
-  Calendar c(5);
-  int booked = 0;
+TEST(RetrySchedule, ReportsAFullScheduleAndNeverExceedsTheMaximumWait) {
+  ScheduleFixture f(5);
+  int reserved = 0;
   for (int i = 0; i < 500; ++i) {
-    const auto b = c.book.Book(kStart, 0, 1, false);
-    booked += b.booked ? 1 : 0;
-    EXPECT_LE(b.at - kStart, 10 * kS);
+    const auto r = f.schedule.Reserve(kStart, 0, 1, false);
+    reserved += r.reserved ? 1 : 0;
+    EXPECT_LE(r.retry_at - kStart, 10 * kS);
   }
-  EXPECT_NEAR(booked, 50, 15);
+  EXPECT_NEAR(reserved, 50, 15);
 }
 
-TEST(RetrySchedule, WhenTheFleetDiesAgainOnlyWhatItCarriesGoesFirst) {
-  Calendar c(100);
-  std::vector<Micros> slots;
-  for (int i = 0; i < 400; ++i) slots.push_back(c.book.Book(kStart, 0, 1, false).at);
-  c.rate = 25;
-  c.book.Renew(kStart + kS);
-  int first = 0;
-  std::sort(slots.begin(), slots.end());
-  for (const Micros at : slots) first += at > kStart + kS && c.book.Claim(at, at, 1) ? 1 : 0;
-  EXPECT_LE(first, 130);  // of about 300 that come after it
-  EXPECT_GE(first, 60);
+TEST(RetrySchedule, AfterAnotherLossOfWorkersOnlyTheRemainingCapacityHasPriority) {
+  ScheduleFixture f(100);
+  std::vector<Micros> retry_times;
+  for (int i = 0; i < 400; ++i) retry_times.push_back(f.schedule.Reserve(kStart, 0, 1, false).retry_at);
+  f.rate = 25;
+  f.schedule.UpdateForecast(kStart + kS);
+  int admitted = 0;
+  std::sort(retry_times.begin(), retry_times.end());
+  for (const Micros at : retry_times) admitted += at > kStart + kS && f.schedule.Claim(at, at, 1) ? 1 : 0;
+  EXPECT_LE(admitted, 130);  // of about 300 that return after the loss
+  EXPECT_GE(admitted, 60);
 }
 
-TEST(RetrySchedule, EarlyAndLateAreToldApart) {
-  Calendar c(100);
-  const auto b = c.book.Book(kStart, kS, 1, false);
-  EXPECT_GT(c.book.EarlyBy(kStart, b.at), 900 * kMs);
-  EXPECT_EQ(c.book.EarlyBy(b.at - 40 * kMs, b.at), 0);
-  EXPECT_TRUE(c.book.Claim(b.at + kS, b.at, 1));
-  EXPECT_FALSE(c.book.Claim(b.at + 1600 * kMs, b.at, 1));  // past its grace, and its bin still there
-  EXPECT_FALSE(c.book.Claim(b.at + 2 * kS, b.at, 1));
+TEST(RetrySchedule, DistinguishesEarlyOnTimeAndLateClients) {
+  ScheduleFixture f(100);
+  const auto r = f.schedule.Reserve(kStart, kS, 1, false);
+  EXPECT_GT(f.schedule.EarlyBy(kStart, r.retry_at), 900 * kMs);
+  EXPECT_EQ(f.schedule.EarlyBy(r.retry_at - 40 * kMs, r.retry_at), 0);
+  EXPECT_TRUE(f.schedule.Claim(r.retry_at + kS, r.retry_at, 1));
+  EXPECT_FALSE(
+      f.schedule.Claim(r.retry_at + 1600 * kMs, r.retry_at, 1));  // past its grace while its bin still exists
+  EXPECT_FALSE(f.schedule.Claim(r.retry_at + 2 * kS, r.retry_at, 1));
 }
 
-TEST(RetrySchedule, OneThatCannotBeNamedTakesUpABookingAndNoMoreThanWereMade) {
-  Calendar c(100);
-  const auto b = c.book.Book(kStart, kS, 1, true);
-  EXPECT_FALSE(c.book.ClaimAnonymous(kStart, 1));
-  EXPECT_TRUE(c.book.ClaimAnonymous(b.at, 1));
-  EXPECT_FALSE(c.book.ClaimAnonymous(b.at, 1));
+TEST(RetrySchedule, AnonymousClientClaimsAReservationAtMostOnce) {
+  ScheduleFixture f(100);
+  const auto r = f.schedule.Reserve(kStart, kS, 1, true);
+  EXPECT_FALSE(f.schedule.ClaimAnonymous(kStart, 1));
+  EXPECT_TRUE(f.schedule.ClaimAnonymous(r.retry_at, 1));
+  EXPECT_FALSE(f.schedule.ClaimAnonymous(r.retry_at, 1));
 }
 
-// Who comes by chance must not take the turn of one that comes at its time: the newest time that is due goes.
-TEST(RetrySchedule, OneWithoutANameAtItsTimeFindsItsOwnWhateverOthersLeft) {
-  Calendar c(100);
-  const auto left = c.book.Book(kStart, kS, 1, true);
-  const auto own = c.book.Book(kStart, 2 * kS, 1, true);
-  EXPECT_TRUE(c.book.ClaimAnonymous(own.at, 1));
-  EXPECT_TRUE(c.book.AnyAnonymous());
-  EXPECT_TRUE(c.book.ClaimAnonymous(std::max(own.at, left.at + kS), 1));
-  EXPECT_FALSE(c.book.AnyAnonymous());
-  // It is the newest that goes: what was left is past its grace, and nothing else stands.
-  Calendar d(100);
-  const auto old = d.book.Book(kStart, kS, 1, true);
-  const auto fresh = d.book.Book(kStart, 2 * kS, 1, true);
-  EXPECT_TRUE(d.book.ClaimAnonymous(fresh.at, 1));
-  EXPECT_FALSE(d.book.ClaimAnonymous(old.at + 1550 * kMs, 1));
-  c.book.Book(own.at, kS, 1, true);
-  EXPECT_FALSE(c.book.ClaimAnonymous(own.at + 30 * kS, 1));  // its grace is over, and it is forgotten
-  EXPECT_FALSE(c.book.AnyAnonymous());
-  const Micros wait = c.book.AnonymousWait(own.at + 30 * kS);
+// The latest due retry time is claimed first, so that a client that arrives at random does not take the
+// reservation of one that arrives on time.
+TEST(RetrySchedule, AnonymousClientOnTimeClaimsItsOwnReservation) {
+  ScheduleFixture f(100);
+  const auto unclaimed = f.schedule.Reserve(kStart, kS, 1, true);
+  const auto own = f.schedule.Reserve(kStart, 2 * kS, 1, true);
+  EXPECT_TRUE(f.schedule.ClaimAnonymous(own.retry_at, 1));
+  EXPECT_TRUE(f.schedule.AnyAnonymous());
+  EXPECT_TRUE(f.schedule.ClaimAnonymous(std::max(own.retry_at, unclaimed.retry_at + kS), 1));
+  EXPECT_FALSE(f.schedule.AnyAnonymous());
+  // The latest one is claimed; the unclaimed older one is past its grace and no other remains.
+  ScheduleFixture g(100);
+  const auto old = g.schedule.Reserve(kStart, kS, 1, true);
+  const auto fresh = g.schedule.Reserve(kStart, 2 * kS, 1, true);
+  EXPECT_TRUE(g.schedule.ClaimAnonymous(fresh.retry_at, 1));
+  EXPECT_FALSE(g.schedule.ClaimAnonymous(old.retry_at + 1550 * kMs, 1));
+  f.schedule.Reserve(own.retry_at, kS, 1, true);
+  EXPECT_FALSE(f.schedule.ClaimAnonymous(own.retry_at + 30 * kS, 1));  // its grace is over and it has expired
+  EXPECT_FALSE(f.schedule.AnyAnonymous());
+  const Micros wait = f.schedule.AnonymousWait(own.retry_at + 30 * kS);
   EXPECT_TRUE(wait > 0 && wait <= 10 * kS) << wait;
 }
 
-TEST(AcceptPacer, LetsABurstThroughAndThenItsRate) {
+TEST(AcceptPacer, AdmitsABurstAndThenTheConfiguredRate) {
   AcceptPacer pacer({100, 10});
   int accepted = 0;
   for (Micros now = kStart; now < kStart + kS; now += kMs) {
@@ -346,9 +343,9 @@
   EXPECT_GT(pacer.delayed(), 0u);
 }
 
-// ---- all together
-struct Whole {
-  Whole() : limits(On(), Site(), 3) {
+// Limits for a fleet of ten workers that has completed 300 hops.
+struct LimitsFixture {
+  LimitsFixture() : limits(EnabledSettings(), Site(), 3) {
     std::vector<pebblenotch::WorkerEntry> fleet(10);
     for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].id = i + 1;
     limits.RoutesChanged(now, fleet, true);
@@ -358,7 +355,7 @@
       limits.HopEnded(now, 0, Result::kOk, 100 * kMs, true);
     }
   }
-  static Settings On() {
+  static Settings EnabledSettings() {
     Settings s;
     s.enabled = true;
     return s;
@@ -369,81 +366,81 @@
     s.classes[1].worth = 10;
     return s;
   }
-  void Storm() {
+  // Plays three seconds in which every arrival is a retry and is shed.
+  void PlayStorm() {
     for (int i = 0; i < 300; ++i) {
       now += 10 * kMs;
-      const auto came = limits.Arrived(now, 0, 0, true, true);
+      const auto arrival = limits.Arrived(now, 0, 0, true, true);
       limits.Update(now);
-      limits.RequestShed(now, 0, 0, 500 * kMs, came);
+      limits.RequestShed(now, 0, 0, 500 * kMs, arrival);
     }
   }
   Micros now = kStart;
   Limits limits;
 };
 
-TEST(Limits, AClientThatHammersIsToldTheSameTimeAndOneThatWaitsGoesFirst) {
-  Whole w;
-  w.Storm();
-  ASSERT_EQ(w.limits.state(), StormState::kStorm);
-  const auto client = w.limits.HashOf("k", 0);
-  auto came = w.limits.Arrived(w.now, 0, client, false, true);
-  EXPECT_EQ(came.return_timing, ReturnTiming::kNew);
-  const Micros wait = w.limits.RequestShed(w.now, 0, client, 500 * kMs, came);
-  const Micros at = w.now + wait;
+TEST(Limits, EarlyRetriesKeepTheirRetryTimeAndAClientOnTimeGoesFirst) {
+  LimitsFixture f;
+  f.PlayStorm();
+  ASSERT_EQ(f.limits.state(), StormState::kStorm);
+  const auto client = f.limits.HashOf("k", 0);
+  auto arrival = f.limits.Arrived(f.now, 0, client, false, true);
+  EXPECT_EQ(arrival.return_timing, ReturnTiming::kNew);
+  const Micros wait = f.limits.RequestShed(f.now, 0, client, 500 * kMs, arrival);
+  const Micros at = f.now + wait;
   for (int i = 0; i < 5; ++i) {
-    w.now += 10 * kMs;
-    came = w.limits.Arrived(w.now, 0, client, false, true);
-    EXPECT_EQ(came.return_timing, ReturnTiming::kEarly);
-    EXPECT_NEAR(static_cast<double>(w.now + w.limits.RequestShed(w.now, 0, client, 0, came)),
+    f.now += 10 * kMs;
+    arrival = f.limits.Arrived(f.now, 0, client, false, true);
+    EXPECT_EQ(arrival.return_timing, ReturnTiming::kEarly);
+    EXPECT_NEAR(static_cast<double>(f.now + f.limits.RequestShed(f.now, 0, client, 0, arrival)),
                 static_cast<double>(at), 1500);
   }
-  w.now = at;
-  came = w.limits.Arrived(w.now, 0, client, false, true);
-  EXPECT_EQ(came.return_timing, ReturnTiming::kDue);
-  EXPECT_TRUE(came.is_retry);
+  f.now = at;
+  arrival = f.limits.Arrived(f.now, 0, client, false, true);
+  EXPECT_EQ(arrival.return_timing, ReturnTiming::kDue);
+  EXPECT_TRUE(arrival.is_retry);
 }
 
-TEST(Limits, AnObjectThatManyAskForIsNoRepeat) {
-  Whole w;
-  const auto object = w.limits.HashOf("album", 0);
-  w.limits.Arrived(w.now, 0, object, false, false);
-  EXPECT_FALSE(w.limits.Arrived(w.now, 0, object, false, false).is_retry);
+TEST(Limits, PopularObjectIsNoRetry) {
+  LimitsFixture f;
+  const auto object = f.limits.HashOf("album", 0);
+  f.limits.Arrived(f.now, 0, object, false, false);
+  EXPECT_FALSE(f.limits.Arrived(f.now, 0, object, false, false).is_retry);
 }
 
-TEST(Limits, AStormInOneClassIsToldOfThatClass) {
-  Whole w;
-  for (int i = 0; i < 3000; ++i) {  // of class 1 nine in ten refused; of class 0, ten times as much, nothing
-    w.now += kMs;
+TEST(Limits, StormInOneClassIsReportedForThatClass) {
+  LimitsFixture f;
+  for (int i = 0; i < 3000; ++i) {  // nine in ten of class 1 are shed, none of the ten times larger class 0
+    f.now += kMs;
     const int job_class = i % 10 == 0 ? 1 : 0;
-    const auto came = w.limits.Arrived(w.now, job_class, 0, false, true);
-    w.limits.Update(w.now);
-    if (job_class == 1 && i % 100 != 0) w.limits.RequestShed(w.now, 1, 0, 0, came);
+    const auto arrival = f.limits.Arrived(f.now, job_class, 0, false, true);
+    f.limits.Update(f.now);
+    if (job_class == 1 && i % 100 != 0) f.limits.RequestShed(f.now, 1, 0, 0, arrival);
   }
-  bool one = false, all = false;
-  while (const auto change = w.limits.NextChange(w.now)) {
-    one = one || (change->job_class == 1 && change->change.to == StormState::kStorm);
-    all = all || (change->job_class == -1 && change->change.to == StormState::kStorm);
+  bool class_storm = false, total_storm = false;
+  while (const auto change = f.limits.NextChange(f.now)) {
+    class_storm = class_storm || (change->job_class == 1 && change->change.to == StormState::kStorm);
+    total_storm = total_storm || (change->job_class == -1 && change->change.to == StormState::kStorm);
   }
-  EXPECT_TRUE(one);
-  EXPECT_FALSE(all);
+  EXPECT_TRUE(class_storm);
+  EXPECT_FALSE(total_storm);
 }
 
-TEST(Limits, TheSameEventsAndSeedGiveTheSameWaits) {
+TEST(Limits, SameEventsAndSeedGiveTheSameWaits) {
   const auto play = [] {
-    Whole w;
-    w.Storm();
+    LimitsFixture f;
+    f.PlayStorm();
     std::vector<Micros> waits;
     for (int i = 0; i < 50; ++i) {
-      const auto c = w.limits.HashOf(std::to_string(i), 0);
-      waits.push_back(w.limits.RequestShed(w.now, 0, c, 0, w.limits.Arrived(w.now, 0, c, false, true)));
+      const auto c = f.limits.HashOf(std::to_string(i), 0);
+      waits.push_back(f.limits.RequestShed(f.now, 0, c, 0, f.limits.Arrived(f.now, 0, c, false, true)));
     }
     return waits;
   };
   EXPECT_EQ(play(), play());
 }
 
-// ---- options and log
-std::string FaultOf(const std::string& json) {
+std::string ConfigErrorOf(const std::string& json) {
   try {
     config::ParseOptions(json);
   } catch (const config::ConfigError& e) {
@@ -452,43 +449,43 @@
   return "";
 }
 
-TEST(Options, FaultsNameTheKey) {
-  EXPECT_EQ(FaultOf("{}"), "");
-  EXPECT_EQ(FaultOf(R"({"limit":{}})"), "config: key limit is not known");
-  EXPECT_EQ(FaultOf(R"({"limits":{"watch":{"rising":2}}})"),
+TEST(Options, ErrorsNameTheKey) {
+  EXPECT_EQ(ConfigErrorOf("{}"), "");
+  EXPECT_EQ(ConfigErrorOf(R"({"limit":{}})"), "config: key limit is not known");
+  EXPECT_EQ(ConfigErrorOf(R"({"limits":{"watch":{"rising":2}}})"),
             "config: key limits.watch.rising is not between 0.01 and 1");
-  EXPECT_EQ(FaultOf(R"({"limits":{"watch":{"storm":0.1}}})"),
+  EXPECT_EQ(ConfigErrorOf(R"({"limits":{"watch":{"storm":0.1}}})"),
             "config: key limits.watch.storm is not over limits.watch.rising");
-  EXPECT_EQ(FaultOf(R"({"limits":{"clients":{"most":1000}}})"),
+  EXPECT_EQ(ConfigErrorOf(R"({"limits":{"clients":{"most":1000}}})"),
             "config: key limits.clients.most is not a power of two");
-  EXPECT_EQ(FaultOf(R"({"limits":{"repeats":{"shares":1}}})"),
+  EXPECT_EQ(ConfigErrorOf(R"({"limits":{"repeats":{"shares":1}}})"),
             "config: key limits.repeats.shares is not known");
-  EXPECT_EQ(FaultOf(R"({"log":{"form":"xml"}})"), "config: key log.form is none of text, json");
-  EXPECT_NE(FaultOf(R"({"log":{},"log":{}})"), "");
+  EXPECT_EQ(ConfigErrorOf(R"({"log":{"form":"xml"}})"), "config: key log.form is none of text, json");
+  EXPECT_NE(ConfigErrorOf(R"({"log":{},"log":{}})"), "");
 }
 
-TEST(Options, FaultsInTheClusterNameTheKey) {
-  const auto fault = [](const std::string& cluster) {
-    const std::string what = FaultOf("{\"cluster\":{\"enabled\":true," + cluster + "}}");
+TEST(Options, ClusterErrorsNameTheKey) {
+  const auto error_key = [](const std::string& cluster) {
+    const std::string what = ConfigErrorOf("{\"cluster\":{\"enabled\":true," + cluster + "}}");
     return what.substr(0, what.find(' ', 12));
   };
   const std::string usual = R"("fleet":"f","listen":"10.0.0.4:7946")";
-  EXPECT_EQ(fault(usual), "");
-  EXPECT_EQ(fault(R"("listen":"10.0.0.4:7946")"), "config: key cluster.fleet");
-  EXPECT_EQ(fault(R"("fleet":"f")"), "config: key cluster.listen");
-  EXPECT_EQ(fault(R"("fleet":"f","listen":"0.0.0.0:7946")"), "config: key cluster.listen");
-  EXPECT_EQ(fault(R"("fleet":"f","listen":"0.0.0.0:7946","advertise":"10.0.0.4:1")"), "");
-  EXPECT_EQ(fault(R"("fleet":"a b","listen":"10.0.0.4:7946")"), "config: key cluster.fleet");
-  EXPECT_EQ(fault(usual + R"(,"name":"a\nb")"), "config: key cluster.name");
-  EXPECT_EQ(fault(usual + R"(,"join":["10.0.0.4"])"), "config: key cluster.join");
-  EXPECT_EQ(fault(usual + R"(,"join":["10.0.0.4:0"])"), "config: key cluster.join");
-  EXPECT_EQ(fault(usual + R"(,"reach":{"b":"x"})"), "config: key cluster.reach.b");
-  EXPECT_EQ(fault(usual + R"(,"period_ms":1)"), "config: key cluster.period_ms");
-  EXPECT_EQ(fault(usual + R"(,"forget_s":1)"), "config: key cluster.forget_s");
-  EXPECT_EQ(fault(usual + R"(,"peers":[])"), "config: key cluster.peers");
+  EXPECT_EQ(error_key(usual), "");
+  EXPECT_EQ(error_key(R"("listen":"10.0.0.4:7946")"), "config: key cluster.fleet");
+  EXPECT_EQ(error_key(R"("fleet":"f")"), "config: key cluster.listen");
+  EXPECT_EQ(error_key(R"("fleet":"f","listen":"0.0.0.0:7946")"), "config: key cluster.listen");
+  EXPECT_EQ(error_key(R"("fleet":"f","listen":"0.0.0.0:7946","advertise":"10.0.0.4:1")"), "");
+  EXPECT_EQ(error_key(R"("fleet":"a b","listen":"10.0.0.4:7946")"), "config: key cluster.fleet");
+  EXPECT_EQ(error_key(usual + R"(,"name":"a\nb")"), "config: key cluster.name");
+  EXPECT_EQ(error_key(usual + R"(,"join":["10.0.0.4"])"), "config: key cluster.join");
+  EXPECT_EQ(error_key(usual + R"(,"join":["10.0.0.4:0"])"), "config: key cluster.join");
+  EXPECT_EQ(error_key(usual + R"(,"reach":{"b":"x"})"), "config: key cluster.reach.b");
+  EXPECT_EQ(error_key(usual + R"(,"period_ms":1)"), "config: key cluster.period_ms");
+  EXPECT_EQ(error_key(usual + R"(,"forget_s":1)"), "config: key cluster.forget_s");
+  EXPECT_EQ(error_key(usual + R"(,"peers":[])"), "config: key cluster.peers");
 }
 
-TEST(Log, OneLineInEitherFormWhateverAPeerSends) {
+TEST(Log, EscapesLineBreaksAndQuotesInBothFormats) {
   const std::string odd = "a\"b\nc";
   const auto fields = {log::Field("id", odd), log::Field("n", 3), log::Field("share", 0.25)};
   EXPECT_EQ(log::Format(log::LineFormat::kText, "x", fields), R"(x id="a\"b\x0ac" n=3 share=0.250)");
