--- a/src/cluster/copies/replica_manager.cpp
+++ b/src/cluster/copies/replica_manager.cpp
@@ -126,10 +126,10 @@
   } else if (std::holds_alternative<log::Restore>(effect)) {
     if (!g.own) return;
     const auto contents = DecodeStoreContents(g.log->snapshot()->data);
-    if (contents) g.last_epoch = contents->applied.life;
+    if (contents) g.last_epoch = contents->applied.epoch;
     // Another process served the group while this one was paused, and has taken a snapshot since.
     if (g.channel) return StopServing(g);
-    if (!contents || contents->applied.life != g.stored_epoch) return;
+    if (!contents || contents->applied.epoch != g.stored_epoch) return;
     // The snapshot is of this scheduler's own claim, and its disk has lost it.
     g.outdated = true;
     heronway::log::Event(heronway::log::Level::kError, "copies",
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -20,7 +20,7 @@
 #include "src/cluster/copies/replica_store.h"
 #include "src/cluster/copies/replicated_store.h"
 #include "src/cluster/copies/report_forwarder.h"
-#include "src/durable/held.h"
+#include "src/durable/transferred_jobs.h"
 
 namespace heronway::cluster::copies {
 
@@ -58,7 +58,7 @@
   // Callbacks by which a front takes over the jobs of a group and gives them up. `own` tells that the group
   // is this scheduler's own and that another member served it in the meantime.
   struct FrontHooks {
-    std::function<void(durable::Held)> serve;
+    std::function<void(durable::TransferredJobs)> serve;
     std::function<void(const std::string& group, const std::string& front, bool own)> stop;
     // Whether no job of the group is in progress. The front starts none from the first call on.
     std::function<bool(const std::string& group, const std::string& front)> idle;
@@ -168,7 +168,7 @@
   struct LoadResult {
     std::string group, fault;
     std::uint64_t epoch = 0;
-    durable::Held held;
+    durable::TransferredJobs held;
     std::unique_ptr<durable::SqliteStore> store;  // null on failure, with the reason in `fault`
   };
   std::deque<LoadTask> load_queue_;
--- a/src/cluster/copies/replicated_store.h
+++ b/src/cluster/copies/replicated_store.h
@@ -63,10 +63,10 @@
                   std::uint64_t epoch);
   void Append(const std::vector<durable::Record>& records) override;
   void Read(const Reader& reader) override { store_->Read(reader); }
-  std::size_t Fold(std::size_t most, std::size_t keep) override { return store_->Fold(most, keep); }
-  std::vector<durable::Order> TakeOrders() override { return store_->TakeOrders(); }
+  std::size_t Compact(std::size_t most, std::size_t keep) override { return store_->Compact(most, keep); }
+  std::vector<durable::OperatorCommand> TakeCommands() override { return store_->TakeCommands(); }
   std::uint64_t bytes() const override { return store_->bytes(); }
-  std::uint64_t most_bytes() const override { return store_->most_bytes(); }
+  std::uint64_t max_bytes() const override { return store_->max_bytes(); }
 
   // Applies a committed entry to a store whose position is `applied`. Returns false if it has no effect: it
   // was applied before, or its epoch is over.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,7 +14,7 @@
 #include "src/cluster/members_tool.h"
 #include "src/cluster/net/node.h"
 #include "src/config/config.h"
-#include "src/durable/tool.h"
+#include "src/durable/job_commands.h"
 #include "src/fronts/console/endpoints.h"
 #include "src/fronts/faktory/front.h"
 #include "src/fronts/http/front.h"
@@ -86,7 +86,7 @@
       config.seed + 6,
       cluster::Node::Callbacks{[&front, second](cluster::QuorumState standing, int schedulers) {
                                  front.UpdateFleetView({standing, schedulers});
-                                 if (second != nullptr) second->FleetSeen({standing, schedulers});
+                                 if (second != nullptr) second->UpdateFleetView({standing, schedulers});
                                },
                                [&front](const cluster::TargetAdvice& hint) { front.ApplyAdvice(hint); },
                                (config.module.settings.nodes + 1) / 2});
@@ -110,8 +110,8 @@
       cluster::copies::ReplicaManager::Settings{o.fleet, o.name.empty() ? config.name : o.name, o.copies,
                                                 o.copies_listen, o.copies_address_overrides, o.takeover_delay,
                                                 ExpectsOthers(o), options.durable.folder, config.seed + 8});
-  options.durable.copied = [c = copies.get()](const std::string& front,
-                                              std::unique_ptr<durable::SqliteStore> store) {
+  options.durable.replicate = [c = copies.get()](const std::string& front,
+                                                 std::unique_ptr<durable::SqliteStore> store) {
     return c->OpenReplicatedStore(front, std::move(store));
   };
   return copies;
@@ -142,8 +142,8 @@
   using cluster::copies::LookupStatus;
   if (!known_now) return {LookupStatus::kRetry, {}};
   if (job == nullptr) return {LookupStatus::kUnknown, {}};
-  if (job->state != durable::State::kAnswered) return {LookupStatus::kOpen, {}};
-  if (job->answer != durable::Answer::kDone) return {LookupStatus::kFailed, {}};
+  if (job->state != durable::JobState::kFinished) return {LookupStatus::kOpen, {}};
+  if (job->outcome != durable::Outcome::kDone) return {LookupStatus::kFailed, {}};
   return {LookupStatus::kDone, job->text};
 }
 
@@ -153,7 +153,7 @@
     return name == "http" ? &front.driver() : second != nullptr ? &second->driver() : nullptr;
   };
   copies.SetFrontHooks(
-      {[driver](durable::Held held) {
+      {[driver](durable::TransferredJobs held) {
          if (net::Driver* d = driver(held.front)) d->AdoptJobs(std::move(held));
        },
        [driver](const std::string& group, const std::string& name, bool own) {
@@ -183,14 +183,14 @@
     };
   };
   front.SetReportForwarder(lead("http"));
-  if (second != nullptr) second->LeadWords(lead("faktory"));
+  if (second != nullptr) second->SetReportForwarder(lead("faktory"));
   const auto look_up = [&copies](const std::string& name, bool is_alias) {
     return [&copies, name, is_alias](const std::string& job, net::Micros patience, auto told) {
       copies.LookUpJob(name, {job, is_alias}, patience, std::move(told));
     };
   };
   front.SetJobLookup(look_up("http", true));
-  if (second != nullptr) second->LookUpJobs(look_up("faktory", false));
+  if (second != nullptr) second->SetJobLookup(look_up("faktory", false));
 }
 
 // Signals that come before the program listens to them wait: SIGHUP would end it, SIGTERM would end it over
@@ -228,7 +228,7 @@
   };
   const auto print = [&] {
     front.LogStatistics();
-    if (second) second->PrintCounters();
+    if (second) second->LogStatistics();
     LogRuleHits(rules.get());
   };
   net::Signal term(loop, SIGTERM, drain);
@@ -301,7 +301,7 @@
   // still to be accepted too, and an answer that its client has not read whole: each has its time for that.
   const auto busy = [&] {
     return front.reducer().pending() > 0 || front.HasUnsentAnswers() ||
-           (second && (second->reducer().pending() > 0 || second->Answering()));
+           (second && (second->reducer().pending() > 0 || second->HasUnsentAnswers()));
   };
   for (int quiet = 0; quiet < 3; quiet = busy() ? 0 : quiet + 1)
     busy() ? loop.WaitAndRunOnce() : loop.RunOnce();
@@ -374,7 +374,7 @@
       ->check(CLI::IsMember({"waiting", "retrying", "held", "done", "failed"}));
   jobs_list->add_option("--class", list.job_class, "Of this class only");
   jobs_list->add_option("--lane", list.lane, "Of this queue only");
-  jobs_list->add_option("--most", list.most, "Rows")->check(CLI::PositiveNumber);
+  jobs_list->add_option("--most", list.max_rows, "Rows")->check(CLI::PositiveNumber);
   jobs_list->add_flag("--json", list.json);
   jobs_show->add_option("ID", job_id)->required();
   jobs_show->add_flag("--json", show_json);
@@ -423,8 +423,8 @@
     if (rule_format->parsed()) return match::FormatFile(rule_path, format_write, format_check);
     if (jobs_list->parsed()) return durable::ListJobs(store_path, list);
     if (jobs_show->parsed()) return durable::ShowJob(store_path, job_id, show_json);
-    if (jobs_retry->parsed()) return durable::OrderJobs(store_path, "retry", job_ids);
-    if (jobs_discard->parsed()) return durable::OrderJobs(store_path, "discard", job_ids);
+    if (jobs_retry->parsed()) return durable::RunJobCommand(store_path, "retry", job_ids);
+    if (jobs_discard->parsed()) return durable::RunJobCommand(store_path, "discard", job_ids);
     if (jobs_export->parsed()) return durable::ExportJobs(store_path);
     if (jobs_verify->parsed()) return durable::VerifyStore(store_path);
     if (jobs_snapshot->parsed()) return durable::SnapshotStore(store_path, copy_path);
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -132,7 +132,7 @@
 std::vector<durable::ClassRules> Rules() { return std::vector<durable::ClassRules>(1); }
 durable::Record Taken(const std::string& id) {
   durable::Record r;
-  r.kind = durable::Kind::kTaken;
+  r.kind = durable::RecordKind::kAccepted;
   r.id = id;
   r.at = 1;
   r.text = "text of " + id;
@@ -142,7 +142,7 @@
 
 TEST(ReplicatedStore, BatchProposedTwiceIsAppliedOnce) {
   Folder folder;
-  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
+  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Mode::kServe);
   durable::Applied applied = store.applied();
   EXPECT_EQ(applied.index, 0u);
   const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
@@ -162,7 +162,7 @@
 // Guards against late proposals of a process that does not know that another has claimed the group.
 TEST(ReplicatedStore, OnlyBatchesOfTheCurrentEpochCount) {
   Folder folder;
-  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
+  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Mode::kServe);
   durable::Applied applied = store.applied();
   const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
     const std::vector<durable::Record> records =
@@ -190,7 +190,7 @@
   auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-      durable::SqliteStore::Use::kServe);
+      durable::SqliteStore::Mode::kServe);
   durable::SqliteStore* inner_store = inner.get();
   ReplicatedStore store(std::move(inner), group, kFencedEpoch | 7);
   group->Deliver(5, Encode(Batch{kFencedEpoch | 8, 0, durable::Encode(std::vector<durable::Record>{})}));
@@ -207,7 +207,7 @@
   auto group = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-      durable::SqliteStore::Use::kServe);
+      durable::SqliteStore::Mode::kServe);
   durable::SqliteStore* inner_store = inner.get();
   ReplicatedStore store(std::move(inner), group, 7);
   group->Reject("nobody leads");
@@ -236,7 +236,7 @@
   auto group = std::make_shared<LogChannel>([] {});
   ReplicatedStore store(std::make_unique<durable::SqliteStore>(
                             durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-                            durable::SqliteStore::Use::kServe),
+                            durable::SqliteStore::Mode::kServe),
                         group, 7);
   std::vector<durable::Record> records;
   for (int n = 0; n < 20; ++n) {
@@ -276,7 +276,7 @@
   const auto open = [&] {
     return std::make_unique<durable::SqliteStore>(
         durable::SqliteStore::Settings{folder.path + "/http.db", {"c"}, Rules(), 0},
-        durable::SqliteStore::Use::kServe);
+        durable::SqliteStore::Mode::kServe);
   };
   const auto groups = [&] {
     ReplicaManager copies(shared, settings);
@@ -293,7 +293,7 @@
   {
     const auto store = open();
     EXPECT_EQ(Jobs(*store), 1u) << "its contents are the first snapshot";
-    store->LeaveLog();
+    store->ClearApplied();
   }
   EXPECT_EQ(groups(), 2u) << "the former group is kept";
 }
