--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -587,7 +587,7 @@
                                     (came_up ? "" : " that never came up"));
     if (!c.plan_.resends || !client) return Over(0, -1, true);
     const bool in_time = c.shared_.loop.Now() - client->sent < kCrossing + c.audit_.late();
-    const bool crossed = rested && !reader.begun() && (over_at_send || in_time);
+    const bool crossed = rested && !reader.started() && (over_at_send || in_time);
     if (!crossed && came_up) {
       std::fprintf(stderr, "at %.3f: %s lost, %lld ms after it was sent, on a %s connection\n",
                    static_cast<double>(c.shared_.loop.Now() - c.began_) / 1e6, client->id.c_str(),
