--- a/bench/match_bench.cpp
+++ b/bench/match_bench.cpp
@@ -33,7 +33,7 @@
 void Run(benchmark::State& state, const std::string& text, const Request& request) {
   Rules rules("bench", text, {1e9});
   for (auto _ : state) benchmark::DoNotOptimize(&rules.Match(request));
-  state.counters["reckoned_ns"] = rules.worst_cost();
+  state.counters["reckoned_ns"] = rules.worst_cost_ns();
 }
 
 void Usual(benchmark::State& state) {
@@ -48,9 +48,9 @@
 
 void Hostile(benchmark::State& state) {  // 256 headers and a path of 16 KiB, which no rule names
   Headers headers;
-  for (std::size_t i = 0; i < kMostHeaders; ++i)
+  for (std::size_t i = 0; i < kMaxHeaders; ++i)
     headers.emplace_back("H" + std::to_string(i), std::string(64, 'a'));
-  const std::string path(kMostHead, 'a');
+  const std::string path(kMaxHeadBytes, 'a');
   Request r;
   r.path = path;
   r.headers = headers;
@@ -94,7 +94,7 @@
 
 void HostileRegexes(benchmark::State& state) {  // 16 KiB in which each letter may begin one
   std::string long_one;
-  while (long_one.size() + 5 < kMostHead) long_one += "Badz ";
+  while (long_one.size() + 5 < kMaxHeadBytes) long_one += "Badz ";
   const Headers headers = {{"User-Agent", long_one}};
   Request r;
   r.path = "/x";
@@ -105,7 +105,7 @@
 
 // The dearest kind of file that the default budget of 60 us lets through, on 16 KiB of one letter.
 void HostileAtTheBudget(benchmark::State& state) {
-  const Headers headers = {{"X", std::string(kMostHead, 'a')}};
+  const Headers headers = {{"X", std::string(kMaxHeadBytes, 'a')}};
   Request r;
   r.path = "/x";
   r.headers = headers;
@@ -114,7 +114,7 @@
               "lower(header(\"X\")) == \"q\" class \"c\" "
               "key hash(header(\"X\")) }");
   for (auto _ : state) benchmark::DoNotOptimize(&rules.Match(r));
-  state.counters["reckoned_ns"] = rules.worst_cost();
+  state.counters["reckoned_ns"] = rules.worst_cost_ns();
 }
 BENCHMARK(HostileAtTheBudget);
 
@@ -126,7 +126,7 @@
   r.headers = headers;
   Run(state, "rule r { when " + condition + " class \"c\" }", r);
 }
-const std::string kOneLetter(kMostHead, 'a');
+const std::string kOneLetter(kMaxHeadBytes, 'a');
 BENCHMARK_CAPTURE(HostileFunction, contains_2, "contains(header(\"X\"), \"ab\")", kOneLetter);
 BENCHMARK_CAPTURE(HostileFunction, contains_20, "contains(header(\"X\"), \"aaaaaaaaaaaaaaaaaaab\")",
                   kOneLetter);
--- a/src/fronts/faktory/durable.cpp
+++ b/src/fronts/faktory/durable.cpp
@@ -54,7 +54,7 @@
 }
 
 void Front::PushDurable(Connection& c, PushedJob& spec, std::string_view arguments,
-                        const match::Service::Judgement& judgement) {
+                        const match::Service::Decision& decision) {
   if (!CheckCanStore(c)) return;
   core::JobSubmitted submitted;
   submitted.id = spec.jid;
@@ -63,8 +63,8 @@
   task.text = arguments;
   task.lane = spec.queue;
   task.retries = spec.retry.value_or(kDefaultRetries);
-  if (judgement.repeats) task.retries = std::min(task.retries, *judgement.repeats);
-  task.priority = judgement.priority;
+  if (decision.max_retries) task.retries = std::min(task.retries, *decision.max_retries);
+  task.priority = decision.priority;
   task.key = spec.key;
   task.not_before = spec.at;
   if (!job_lookup_) return SubmitDurable(c, std::move(submitted));
@@ -129,7 +129,8 @@
     // PUSH.
     if (rules_ != nullptr)
       arrived.request.required_groups =
-          rules_->Judge(context_.loop.Now(), ToMatchRequest(spec, stored->text.size()), true).only;
+          rules_->Evaluate(context_.loop.Now(), ToRuleRequest(spec, stored->text.size()), true)
+              .required_groups;
   } catch (const ProtocolError&) {
     return driver_.Post(core::RoundInvalid{e.id});
   }
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -212,7 +212,7 @@
   c.Send(Simple("OK"));
 }
 
-match::Request Front::ToMatchRequest(const PushedJob& spec, std::size_t bytes) const {
+match::Request Front::ToRuleRequest(const PushedJob& spec, std::size_t bytes) const {
   match::Request r;
   r.front = "faktory";
   r.jobtype = spec.jobtype;
@@ -223,16 +223,16 @@
   return r;
 }
 
-// Applies the rules; an empty judgement where there are none.
-match::Service::Judgement Front::Judge(const Connection& c, const PushedJob& spec, std::size_t bytes) {
+// Applies the rules; an empty decision where there are none.
+match::Service::Decision Front::EvaluateRules(const Connection& c, const PushedJob& spec, std::size_t bytes) {
   if (rules_ == nullptr) return {};
-  match::Request r = ToMatchRequest(spec, bytes);
-  r.peer = match::Mapped(&c.peer.sin_addr);
-  const auto judgement = rules_->Judge(context_.loop.Now(), r);
-  if (judgement.marked_by != nullptr)
+  match::Request r = ToRuleRequest(spec, bytes);
+  r.peer = match::MappedIpv4(&c.peer.sin_addr);
+  const auto decision = rules_->Evaluate(context_.loop.Now(), r);
+  if (decision.marked_by_rule != nullptr)
     log::Event(log::Level::kInfo, "marked",
-               {{"front", "faktory", true}, {"rule", *judgement.marked_by}, {"jid", spec.jid}});
-  return judgement;
+               {{"front", "faktory", true}, {"rule", *decision.marked_by_rule}, {"jid", spec.jid}});
+  return decision;
 }
 
 void Front::Push(Connection& c, std::string_view arguments) {
@@ -268,22 +268,22 @@
     driver_.Post(core::IngressDetached{job.ticket, false});
     return DeliverToAll();  // one of its hops may be waiting for delivery
   }
-  const auto judgement = Judge(c, spec, arguments.size());
-  if (judgement.refuse != nullptr) throw ProtocolError("REFUSED " + *judgement.refuse);
-  if (judgement.rate != nullptr) {
+  const auto decision = EvaluateRules(c, spec, arguments.size());
+  if (decision.reject_reason != nullptr) throw ProtocolError("REFUSED " + *decision.reject_reason);
+  if (decision.exceeded_rate != nullptr) {
     ++shed_;
-    return c.Send(Error("SHED over the rate " + *judgement.rate + "; come back in " +
-                        FormatSeconds(judgement.wait) + " s"));
+    return c.Send(Error("SHED over the rate " + *decision.exceeded_rate + "; come back in " +
+                        FormatSeconds(decision.retry_after) + " s"));
   }
-  if (judgement.job_class >= 0) spec.job_class = judgement.job_class;
-  if (judgement.key) spec.key = *judgement.key;
-  if (judgement.repeats)
+  if (decision.job_class >= 0) spec.job_class = decision.job_class;
+  if (decision.key) spec.key = *decision.key;
+  if (decision.max_retries)
     spec.max_hops =
-        spec.max_hops > 0 ? std::min(spec.max_hops, *judgement.repeats + 1) : *judgement.repeats + 1;
+        spec.max_hops > 0 ? std::min(spec.max_hops, *decision.max_retries + 1) : *decision.max_retries + 1;
   if (spec.job_class < 0) throw ProtocolError("jobtype is none of the classes served here");
-  if (durable()) return PushDurable(c, spec, arguments, judgement);
+  if (durable()) return PushDurable(c, spec, arguments, decision);
   // A copy, as the original points into data that is moved below.
-  const std::string tenant(judgement.tenant.value_or(""));
+  const std::string tenant(decision.tenant.value_or(""));
   core::RequestArrived arrived;
   if (reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
       job_bytes_ + arguments.size() > max_bytes_) {
@@ -313,8 +313,8 @@
   arrived.request.job_class = spec.job_class;
   arrived.request.deadline = job.deadline;
   arrived.request.key = spec.key;
-  arrived.request.priority = judgement.priority;
-  arrived.request.required_groups = judgement.only;
+  arrived.request.priority = decision.priority;
+  arrived.request.required_groups = decision.required_groups;
   arrived.tenant = tenant;
   driver_.Post(std::move(arrived));
 }
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -82,10 +82,10 @@
   void ProcessCommand(Connection& c, std::string_view line);
   void Hello(Connection& c, std::string_view arguments);
   void Push(Connection& c, std::string_view arguments);
-  match::Service::Judgement Judge(const Connection& c, const PushedJob& spec, std::size_t bytes);
-  match::Request ToMatchRequest(const PushedJob& spec, std::size_t bytes) const;
+  match::Service::Decision EvaluateRules(const Connection& c, const PushedJob& spec, std::size_t bytes);
+  match::Request ToRuleRequest(const PushedJob& spec, std::size_t bytes) const;
   void PushDurable(Connection& c, PushedJob& spec, std::string_view arguments,
-                   const match::Service::Judgement& judgement);
+                   const match::Service::Decision& decision);
   void SubmitDurable(Connection& c, core::JobSubmitted submitted);
   bool CheckCanStore(Connection& c);
   void AckDurable(Connection& c, core::HopCallback report);
--- a/src/fronts/faktory/protocol.cpp
+++ b/src/fronts/faktory/protocol.cpp
@@ -107,7 +107,7 @@
     for (const auto& name : root["custom"].getMemberNames()) {
       if (!root["custom"][name].isString()) continue;
       const std::size_t size = name.size() + root["custom"][name].asString().size();
-      if (bytes + size > match::kMostHead || job.custom.size() == match::kMostHeaders) continue;
+      if (bytes + size > match::kMaxHeadBytes || job.custom.size() == match::kMaxHeaders) continue;
       bytes += size;
       job.custom.emplace_back(name, root["custom"][name].asString());
     }
--- a/src/fronts/http/durable.cpp
+++ b/src/fronts/http/durable.cpp
@@ -220,7 +220,7 @@
   r.priority = job->priority;
   ParseResources(message, r);
   if (rules_ != nullptr)
-    r.required_groups = rules_->Judge(context_.loop.Now(), ToRuleRequest(message), true).only;
+    r.required_groups = rules_->Evaluate(context_.loop.Now(), ToRuleRequest(message), true).required_groups;
   pending_bytes_ += message.size();
   pending_.emplace(r.id, Pending{nullptr, e.id, std::move(message)});
   driver_.Post(std::move(arrived));
--- a/src/fronts/http/front.h
+++ b/src/fronts/http/front.h
@@ -129,7 +129,7 @@
   void Admit(Ingress& ingress, Message message, core::RequestArrived arrived, const std::string& alias);
   static match::Request ToRuleRequest(const Message& message);
   static void ParseResources(const Message& message, pebblenotch::Request& request);
-  match::Service::Judgement EvaluateRules(const Ingress& ingress, const Message& message);
+  match::Service::Decision EvaluateRules(const Ingress& ingress, const Message& message);
   void HandleCallback(Ingress& ingress, const Message& message);
   bool durable() const { return reducer().job_manager() != nullptr; }
   void Join(Ingress& ingress, const Message& message, const std::string& job, int job_class);
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -60,19 +60,19 @@
   if (const auto* text = message.Find("Req-Deadline-Ms"))
     r.deadline = std::clamp<std::int64_t>(ParseNumber<std::int64_t>(*text).value_or(0), 0, 1LL << 40) * 1000;
   const auto* retry = message.Find("Req-Retry");
-  r.repeat = retry != nullptr && *retry == "1";
+  r.is_retry = retry != nullptr && *retry == "1";
   return r;
 }
 
 // Returns the decision of the match rules, or an empty one without rules.
-match::Service::Judgement Front::EvaluateRules(const Ingress& ingress, const Message& message) {
+match::Service::Decision Front::EvaluateRules(const Ingress& ingress, const Message& message) {
   if (rules_ == nullptr) return {};
   match::Request r = ToRuleRequest(message);
-  r.peer = match::Mapped(&ingress.peer.sin_addr);
-  const auto decision = rules_->Judge(context_.loop.Now(), r);
-  if (decision.marked_by != nullptr)
+  r.peer = match::MappedIpv4(&ingress.peer.sin_addr);
+  const auto decision = rules_->Evaluate(context_.loop.Now(), r);
+  if (decision.marked_by_rule != nullptr)
     log::Event(log::Level::kInfo, "marked",
-               {{"front", "http", true}, {"rule", *decision.marked_by}, {"path", r.path}});
+               {{"front", "http", true}, {"rule", *decision.marked_by_rule}, {"path", r.path}});
   return decision;
 }
 
@@ -91,11 +91,11 @@
     ingress.Respond(status, {}, std::string(why) + "\n");
   };
   const auto decision = EvaluateRules(ingress, message);
-  if (decision.refuse != nullptr) return reject(403, decision.refuse->c_str());
-  if (decision.rate != nullptr) {
+  if (decision.reject_reason != nullptr) return reject(403, decision.reject_reason->c_str());
+  if (decision.exceeded_rate != nullptr) {
     ++not_admitted_;
-    return ingress.Respond(429, {{"Retry-After", FormatSeconds(decision.wait)}},
-                           "over the rate " + *decision.rate + "\n");
+    return ingress.Respond(429, {{"Retry-After", FormatSeconds(decision.retry_after)}},
+                           "over the rate " + *decision.exceeded_rate + "\n");
   }
   const auto first_segment = message.target.substr(0, message.target.find_first_of("?/", 1));
   const auto job_class =
@@ -141,9 +141,9 @@
     r.key = *key;
   }
   if (decision.key) r.key = *decision.key;
-  if (decision.repeats) arrived.max_hops = *decision.repeats + 1;
+  if (decision.max_retries) arrived.max_hops = *decision.max_retries + 1;
   r.priority = decision.priority;
-  r.required_groups = decision.only;
+  r.required_groups = decision.required_groups;
   arrived.tenant = decision.tenant.value_or("");
   if (const auto* retry = message.Find("Req-Retry")) r.client_retry = *retry == "1";
   ParseResources(message, r);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -21,7 +21,7 @@
 #include "src/fronts/log_reports.h"
 #include "src/log/log.h"
 #include "src/match/service.h"
-#include "src/match/tool.h"
+#include "src/match/rule_commands.h"
 #include "src/trace/trace.h"
 
 namespace {
--- a/src/match/ast.h
+++ b/src/match/ast.h
@@ -50,8 +50,8 @@
   NodePtr when;       // null: always
   NodePtr job_class;  // a literal, a lookup in a map, or one with `or_else`
   NodePtr key, tenant, rate_by;
-  std::optional<std::string> refuse, rate, zone, kind, label;
-  std::optional<std::int64_t> priority, repeats;
+  std::optional<std::string> reject_reason, rate, zone, kind, label;
+  std::optional<std::int64_t> priority, max_retries;
   bool mark = false, goes_on = false;
   std::map<std::string, Place> places;  // of each setting
 };
@@ -69,7 +69,7 @@
   std::string front = "http", path, query, jobtype, queue, peer = "127.0.0.1";
   std::vector<std::pair<std::string, std::string>> headers, custom;
   std::int64_t body_bytes = 0, deadline = 0;
-  bool repeat = false;
+  bool is_retry = false;
   std::map<std::string, std::pair<std::string, Place>> expected;  // rule, class, refuse, tenant, key, rate
 };
 
--- a/src/match/checker.cpp
+++ b/src/match/checker.cpp
@@ -86,11 +86,11 @@
         Fault(rule.places.at(setting), std::string(setting) + " is 0 to " + std::to_string(most));
     };
     if (rule.priority) none("priority", *rule.priority, 15);
-    if (rule.repeats) none("repeats", *rule.repeats, 100);
+    if (rule.max_retries) none("repeats", *rule.max_retries, 100);
     if (rule.rate && std::none_of(file_.rates.begin(), file_.rates.end(),
                                   [&](const auto& r) { return r.name == *rule.rate; }))
       Fault(rule.places.at("rate"), "rate " + *rule.rate + " is not there");
-    if (rule.refuse && rule.goes_on)
+    if (rule.reject_reason && rule.goes_on)
       Fault(rule.places.at("refuse"), "a rule that refuses ends the search: it cannot continue");
   }
 
@@ -119,8 +119,8 @@
     deepest_ = std::max(outer_deepest, mine);
     scope_ = outer;
     way_.pop_back();
-    if (mine > kMostConditionDepth)
-      Fault(at, "conditions use each other more than " + std::to_string(kMostConditionDepth) + " deep");
+    if (mine > kMaxConditionDepth)
+      Fault(at, "conditions use each other more than " + std::to_string(kMaxConditionDepth) + " deep");
     return depth_[name] = mine;
   }
 
--- a/src/match/checker.h
+++ b/src/match/checker.h
@@ -11,7 +11,7 @@
 void Check(FileText& file, std::vector<Fault>& faults);
 
 // Conditions that use conditions: so deep at most.
-inline constexpr int kMostConditionDepth = 32;
+inline constexpr int kMaxConditionDepth = 32;
 
 }  // namespace heronway::match
 
--- a/src/match/compiler.cpp
+++ b/src/match/compiler.cpp
@@ -313,7 +313,7 @@
       if (n.text == "prefix") return Out(Code::kPrefix, Constant(kid(1).value), 0, 0);
       if (n.text == "suffix") return Out(Code::kSuffix, Constant(kid(1).value), 0, 0);
       if (n.text == "contains") return Out(Code::kContains, SearchFor(kid(1).text), 0, 0);
-      if (n.text == "lower") program_.scratch += kMostHead;
+      if (n.text == "lower") program_.scratch += kMaxHeadBytes;
       return Out(n.text == "lower"    ? Code::kLower
                  : n.text == "length" ? Code::kLength
                  : n.text == "int"    ? Code::kInt
--- a/src/match/cost.cpp
+++ b/src/match/cost.cpp
@@ -7,7 +7,7 @@
 namespace heronway::match {
 namespace {
 
-constexpr double kHead = static_cast<double>(kMostHead);
+constexpr double kHead = static_cast<double>(kMaxHeadBytes);
 constexpr double kRegexByte = 2.3;
 
 struct Price {
@@ -82,7 +82,7 @@
   for (std::uint32_t i = 0; i < program.fields.size(); ++i) {
     const FieldRef::Kind kind = program.fields[i].kind;
     if (kind == FieldRef::Kind::kHeader || kind == FieldRef::Kind::kCustom) {
-      out.fixed += 3.0 * static_cast<double>(kMostHeaders);
+      out.fixed += 3.0 * static_cast<double>(kMaxHeaders);
     } else {
       out.fixed += 5;
       const bool walk = kind == FieldRef::Kind::kSegment || kind == FieldRef::Kind::kQuery;
--- a/src/match/dispatch.cpp
+++ b/src/match/dispatch.cpp
@@ -212,7 +212,7 @@
   return out;
 }
 
-double Dispatch::worst_cost() const {
+double Dispatch::worst_cost_ns() const {
   if (field_ == nullptr) return 0;
   return 60 + 0.3 * static_cast<double>(longest_text_) + 10 * static_cast<double>(longest_prefix_);
 }
--- a/src/match/dispatch.h
+++ b/src/match/dispatch.h
@@ -32,7 +32,7 @@
   std::size_t prefixes() const { return prefixes_; }
   // Every list that a look-up may give.
   std::vector<const List*> Lists() const;
-  double worst_cost() const;  // of a look-up, nanoseconds
+  double worst_cost_ns() const;  // of a look-up, nanoseconds
 
  private:
   struct Part {  // of the trie: one byte further
--- a/src/match/lexer.cpp
+++ b/src/match/lexer.cpp
@@ -189,7 +189,7 @@
 
 }  // namespace
 
-AddressBytes Mapped(const void* four) {
+AddressBytes MappedIpv4(const void* four) {
   AddressBytes out = {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff};
   std::memcpy(out.data() + 12, four, 4);
   return out;
@@ -198,7 +198,7 @@
 bool ParseAddress(const std::string& text, AddressBytes& out) {
   in_addr four{};
   if (inet_pton(AF_INET, text.c_str(), &four) == 1) {
-    out = Mapped(&four);
+    out = MappedIpv4(&four);
     return true;
   }
   return inet_pton(AF_INET6, text.c_str(), out.data()) == 1;
--- a/src/match/machine.cpp
+++ b/src/match/machine.cpp
@@ -140,7 +140,7 @@
     case K::kDeadline:
       return Number(r.deadline);
     case K::kRepeat:
-      return Number(r.repeat ? 1 : 0);
+      return Number(r.is_retry ? 1 : 0);
     case K::kSegment: {
       std::string_view rest = r.path;
       if (!rest.empty() && rest.front() == '/') rest.remove_prefix(1);
--- a/src/match/parser.cpp
+++ b/src/match/parser.cpp
@@ -157,7 +157,7 @@
       } else if (setting == "priority") {
         rule.priority = WantNumber(Type::kInt, "a whole number");
       } else if (setting == "repeats") {
-        rule.repeats = WantNumber(Type::kInt, "a whole number");
+        rule.max_retries = WantNumber(Type::kInt, "a whole number");
       } else if (setting == "rate") {
         rule.rate = WantName("a rate's name");
         WantWord("by");
@@ -170,7 +170,7 @@
         to = WantString("its name, as a string");
         rule.places.erase("targets");  // may stand once for each
       } else if (setting == "refuse") {
-        rule.refuse = WantString("the reason, as a string");
+        rule.reject_reason = WantString("the reason, as a string");
       } else if (setting == "mark") {
         rule.mark = true;
       } else if (setting == "continue") {
@@ -211,7 +211,7 @@
       } else if (line == "deadline") {
         test.deadline = WantNumber(Type::kDuration, "a duration");
       } else if (line == "repeat") {
-        test.repeat = true;
+        test.is_retry = true;
       } else {
         std::string* to = line == "path"      ? &test.path
                           : line == "query"   ? &test.query
--- a/src/match/tool.cpp
+++ b/src/match/rule_commands.cpp
@@ -1,4 +1,4 @@
-#include "src/match/tool.h"
+#include "src/match/rule_commands.h"
 
 #include <algorithm>
 #include <chrono>
@@ -43,7 +43,8 @@
 
 int CheckFile(const std::string& path, double budget_ns) {
   const Rules rules(path, ReadRuleFile(path), {budget_ns});
-  std::printf("%s: %zu rules, at worst %.0f ns a request\n", path.c_str(), rules.size(), rules.worst_cost());
+  std::printf("%s: %zu rules, at worst %.0f ns a request\n", path.c_str(), rules.size(),
+              rules.worst_cost_ns());
   return 0;
 }
 
@@ -65,10 +66,10 @@
   r.custom = custom;
   r.body_bytes = top.Whole("body_bytes", 0, 0, 1LL << 40);
   r.deadline = top.Whole("deadline_ms", 0, 0, 1LL << 40) * 1000;
-  r.repeat = top.Flag("repeat", false);
+  r.is_retry = top.Flag("repeat", false);
   if (!ParseAddress(peer, r.peer)) config::Fault("peer", "is not an address");
   top.NoOthers();
-  std::fputs(rules.Why(r).c_str(), stdout);
+  std::fputs(rules.TraceMatch(r).c_str(), stdout);
   return 0;
 }
 
@@ -108,9 +109,9 @@
                        {"Req-Deadline-Ms", "480"},
                        {"Idempotency-Key", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}};
   Pairs hostile;
-  for (std::size_t i = 0; i < kMostHeaders; ++i)
-    hostile.emplace_back("H" + std::to_string(i), std::string(kMostHead / kMostHeaders, 'a'));
-  const std::string long_path = "/" + std::string(kMostHead, 'a');
+  for (std::size_t i = 0; i < kMaxHeaders; ++i)
+    hostile.emplace_back("H" + std::to_string(i), std::string(kMaxHeadBytes / kMaxHeaders, 'a'));
+  const std::string long_path = "/" + std::string(kMaxHeadBytes, 'a');
   Request r;
   r.front = "http";
   r.path = "/album-save/1";
@@ -122,7 +123,7 @@
   std::printf(
       "%zu rules, reckoned at worst %.0f ns\nusual    median %8.0f ns  p99 %8.0f ns\nhostile  median %8.0f "
       "ns  p99 %8.0f ns\n",
-      rules.size(), rules.worst_cost(), usual_median, usual_p99, hostile_median, hostile_p99);
+      rules.size(), rules.worst_cost_ns(), usual_median, usual_p99, hostile_median, hostile_p99);
   return 0;
 }
 
--- a/src/match/tool.h
+++ b/src/match/rule_commands.h
@@ -1,6 +1,6 @@
 // The command line's `match ...`: checks, tries, explains and times a rule file. Gives the exit status.
-#ifndef HERONWAY_MATCH_TOOL_H_
-#define HERONWAY_MATCH_TOOL_H_
+#ifndef HERONWAY_MATCH_RULE_COMMANDS_H_
+#define HERONWAY_MATCH_RULE_COMMANDS_H_
 
 #include <string>
 
@@ -18,4 +18,4 @@
 
 }  // namespace heronway::match
 
-#endif  // HERONWAY_MATCH_TOOL_H_
+#endif  // HERONWAY_MATCH_RULE_COMMANDS_H_
--- a/src/match/rules.cpp
+++ b/src/match/rules.cpp
@@ -28,7 +28,7 @@
                      [](const Fault& a, const Fault& b) { return a.at.begin < b.at.begin; });
     throw RuleError(name, text, faults);
   };
-  if (text.size() > kMostFile) faults.push_back({{0, 1}, "the file is over 16 MiB"});
+  if (text.size() > kMaxFileBytes) faults.push_back({{0, 1}, "the file is over 16 MiB"});
   judge();
   file_ = Parse(text, faults);
   if (faults.empty()) Check(file_, faults);
@@ -86,24 +86,24 @@
     for (const std::uint32_t i : *rules) found += rules_[i].cost;
     worst_ = std::max(worst_, found.Worst());
   }
-  worst_ += dispatch_.worst_cost();
+  worst_ += dispatch_.worst_cost_ns();
   const auto costly = std::max_element(rules_.begin(), rules_.end(), [](const Rule& a, const Rule& b) {
     return a.cost.Worst() < b.cost.Worst();
   });
   const auto whole = [](double ns) { return std::to_string(static_cast<long long>(ns)); };
   if (program_.scratch > (1 << 20))
     faults.push_back(
-        {costly->text.at, "lower() is used too often: " + std::to_string(program_.scratch / kMostHead) +
+        {costly->text.at, "lower() is used too often: " + std::to_string(program_.scratch / kMaxHeadBytes) +
                               " times, 64 at most"});
-  if (worst_ <= limits.budget || costly == rules_.end()) return;
+  if (worst_ <= limits.budget_ns || costly == rules_.end()) return;
   faults.push_back({costly->text.at, "a request may cost " + whole(worst_) +
-                                         " ns with these rules, over the budget of " + whole(limits.budget) +
-                                         "; rule " + costly->text.name +
+                                         " ns with these rules, over the budget of " +
+                                         whole(limits.budget_ns) + "; rule " + costly->text.name +
                                          " costs most: " + whole(costly->cost.Worst()) + " ns"});
 }
 
-const Verdict& Rules::Match(const Request& request) {
-  verdict_ = Verdict{};
+const MatchResult& Rules::Match(const Request& request) {
+  verdict_ = MatchResult{};
   machine_->Begin(request);
   const Dispatch::List* found = nullptr;
   const Dispatch::List& always = dispatch_.others();
@@ -126,8 +126,8 @@
   Rule& rule = rules_[i];
   if (!rule.when.empty() && machine_->Run(rule.when).number == 0) return false;
   ++rule.hits;
-  Verdict& v = verdict_;
-  if (v.count < Verdict::kMostRules) {
+  MatchResult& v = verdict_;
+  if (v.count < MatchResult::kMaxRecordedRules) {
     v.matched[v.count++] = i;
   } else {
     v.matched.back() = i;
@@ -136,7 +136,7 @@
   const auto set = [](const std::string*& to, const std::optional<std::string>& from) {
     if (to == nullptr && from) to = &*from;
   };
-  set(v.refuse, t.refuse);
+  set(v.reject_reason, t.reject_reason);
   set(v.zone, t.zone);
   set(v.kind, t.kind);
   set(v.label, t.label);
@@ -158,7 +158,7 @@
     }
   }
   if (!v.priority && t.priority) v.priority = static_cast<int>(*t.priority);
-  if (!v.repeats && t.repeats) v.repeats = static_cast<int>(*t.repeats);
+  if (!v.max_retries && t.max_retries) v.max_retries = static_cast<int>(*t.max_retries);
   v.mark = v.mark || t.mark;
   return !t.goes_on;
 }
@@ -175,16 +175,16 @@
     r.custom = test.custom;
     r.body_bytes = test.body_bytes;
     r.deadline = test.deadline;
-    r.repeat = test.repeat;
+    r.is_retry = test.is_retry;
     if (!ParseAddress(test.peer, r.peer)) {
       faults.push_back({test.at, "test \"" + test.name + "\": peer " + test.peer + " is no address"});
       continue;
     }
-    const Verdict& v = Match(r);
+    const MatchResult& v = Match(r);
     for (const auto& [what, wanted] : test.expected) {
       const std::string got = what == "rule"     ? (v.count > 0 ? NameOf(v.matched[v.count - 1]) : "none")
                               : what == "class"  ? std::string(v.job_class.value_or("none"))
-                              : what == "refuse" ? (v.refuse != nullptr ? *v.refuse : "none")
+                              : what == "refuse" ? (v.reject_reason != nullptr ? *v.reject_reason : "none")
                               : what == "tenant" ? std::string(v.tenant.value_or("none"))
                               : what == "key"
                                   ? (v.key ? Hex(*v.key) : "none")
@@ -231,7 +231,7 @@
   return out.str();
 }
 
-std::string Rules::Why(const Request& request) {
+std::string Rules::TraceMatch(const Request& request) {
   std::ostringstream out;
   machine_->Begin(request);
   for (std::size_t f = 0; f < program_.fields.size(); ++f) {
@@ -262,12 +262,12 @@
           << (rules_[i].text.goes_on ? ", and the search goes on\n" : "\n");
     if (holds && !rules_[i].text.goes_on) break;
   }
-  const Verdict& v = Match(request);
+  const MatchResult& v = Match(request);
   const auto say = [&out](const char* what, const std::string* value) {
     if (value != nullptr) out << what << " " << *value << "\n";
   };
   if (v.job_class) out << "class " << *v.job_class << "\n";
-  say("refuse", v.refuse);
+  say("refuse", v.reject_reason);
   say("zone", v.zone);
   say("kind", v.kind);
   say("label", v.label);
@@ -276,7 +276,7 @@
   if (v.rate >= 0)
     out << "rate " << rates_[static_cast<std::size_t>(v.rate)].name << " by " << *v.rate_by << "\n";
   if (v.priority) out << "priority " << *v.priority << "\n";
-  if (v.repeats) out << "repeats " << *v.repeats << "\n";
+  if (v.max_retries) out << "repeats " << *v.max_retries << "\n";
   if (v.mark) out << "marked\n";
   if (v.count == 0) out << "no rule matches: all is as without rules\n";
   return out.str();
--- a/src/match/rules.h
+++ b/src/match/rules.h
@@ -18,22 +18,23 @@
 
 struct Limits {
   // The most that one request may cost, in nanoseconds by the reckoning at load; 100 to 1e9.
-  double budget = 60'000;
+  double budget_ns = 60'000;
 };
 
 // What the rules say of a request; what they leave unsaid is as without rules. Texts point into the request,
 // the rules or the machine's scratch, and are good until the next match.
-struct Verdict {
-  static constexpr std::size_t kMostRules = 16;
-  std::array<std::uint32_t, kMostRules> matched{};  // places of the rules, in order; the last ones of more
+struct MatchResult {
+  static constexpr std::size_t kMaxRecordedRules = 16;
+  std::array<std::uint32_t, kMaxRecordedRules>
+      matched{};  // places of the rules, in order; the last ones of more
   std::size_t count = 0;
   std::optional<std::string_view> job_class;
   std::optional<std::uint64_t> key;
   std::optional<std::string_view> tenant, rate_by;
-  std::optional<int> priority, repeats;
+  std::optional<int> priority, max_retries;
   int rate = -1;  // place of the rate
   const std::string *zone = nullptr, *kind = nullptr, *label = nullptr;
-  const std::string* refuse = nullptr;
+  const std::string* reject_reason = nullptr;
   bool mark = false;
 };
 
@@ -46,7 +47,7 @@
   Rules& operator=(const Rules&) = delete;
 
   // No allocation; not from two threads at a time. Counts hits.
-  const Verdict& Match(const Request& request);
+  const MatchResult& Match(const Request& request);
 
   struct Rate {
     std::string name;
@@ -57,11 +58,11 @@
   const std::string& NameOf(std::uint32_t rule) const { return rules_[rule].text.name; }
   const RuleText& TextOf(std::uint32_t rule) const { return rules_[rule].text; }
   std::uint64_t hits(std::uint32_t rule) const { return rules_[rule].hits; }
-  double worst_cost() const { return worst_; }  // nanoseconds
+  double worst_cost_ns() const { return worst_; }  // nanoseconds
   // The compiled form, and what each rule costs at worst.
   std::string Explain() const;
   // What each rule made of a request, value by value, up to the one that decided.
-  std::string Why(const Request& request);
+  std::string TraceMatch(const Request& request);
 
  private:
   struct Rule {
@@ -85,7 +86,7 @@
   Dispatch dispatch_;
   double worst_ = 0;
   std::unique_ptr<Machine> machine_;
-  Verdict verdict_;
+  MatchResult verdict_;
 };
 
 // Reads a file whole. Guards against one that is replaced while it is read: it must be the same size and
--- a/src/match/service.cpp
+++ b/src/match/service.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kRatePlaces = 16'384;
-constexpr std::size_t kMostGroups = 64;
+constexpr std::size_t kMaxGroups = 64;
 
 }  // namespace
 
@@ -45,8 +45,8 @@
         return fault((by == 'z' ? "zone " : "kind ") + *named + " is none of the site's");
       const Group group{by, *named};
       if (std::find(groups.begin(), groups.end(), group) != groups.end()) return;
-      if (groups.size() == kMostGroups)
-        return fault("rules have named more than " + std::to_string(kMostGroups) +
+      if (groups.size() == kMaxGroups)
+        return fault("rules have named more than " + std::to_string(kMaxGroups) +
                      " zones, kinds and labels of targets since the start");
       groups.push_back(group);
     };
@@ -79,25 +79,25 @@
   return it == site_.classes.end() ? -1 : static_cast<int>(it - site_.classes.begin());
 }
 
-Service::Judgement Service::Judge(Micros now, const Request& request, bool again) {
-  const Verdict& v = rules_->Match(request);
-  Judgement out;
+Service::Decision Service::Evaluate(Micros now, const Request& request, bool again) {
+  const MatchResult& v = rules_->Match(request);
+  Decision out;
   if (v.job_class) out.job_class = ClassOf(*v.job_class);
   out.key = v.key;
-  out.repeats = v.repeats;
+  out.max_retries = v.max_retries;
   out.priority = v.priority.value_or(0);
   out.tenant = v.tenant;
   for (const auto& [by, name] : {std::pair('z', v.zone), std::pair('k', v.kind), std::pair('l', v.label)}) {
     for (std::size_t i = 0; name != nullptr && i < groups_.size(); ++i) {
-      if (groups_[i].by == by && groups_[i].name == *name) out.only |= 1ULL << i;
+      if (groups_[i].by == by && groups_[i].name == *name) out.required_groups |= 1ULL << i;
     }
   }
-  out.refuse = v.refuse;
-  if (v.mark && v.count > 0) out.marked_by = &rules_->NameOf(v.matched[v.count - 1]);
-  if (v.refuse != nullptr || v.rate < 0 || again) return out;
+  out.reject_reason = v.reject_reason;
+  if (v.mark && v.count > 0) out.marked_by_rule = &rules_->NameOf(v.matched[v.count - 1]);
+  if (v.reject_reason != nullptr || v.rate < 0 || again) return out;
   const Rules::Rate& rate = rules_->rates()[static_cast<std::size_t>(v.rate)];
-  out.wait = rates_.Take(now, static_cast<std::uint32_t>(v.rate), *v.rate_by, rate.per_s, rate.burst);
-  if (out.wait > 0) out.rate = &rate.name;
+  out.retry_after = rates_.Take(now, static_cast<std::uint32_t>(v.rate), *v.rate_by, rate.per_s, rate.burst);
+  if (out.retry_after > 0) out.exceeded_rate = &rate.name;
   return out;
 }
 
--- a/src/match/service.h
+++ b/src/match/service.h
@@ -23,20 +23,21 @@
   Service(const std::string& name, std::string_view text, const Limits& limits, Site site,
           std::uint64_t seed);
 
-  struct Judgement {
+  struct Decision {
     int job_class = -1;  // -1: as without rules, like all that is not set
     std::optional<std::uint64_t> key;
-    std::optional<int> repeats;
+    std::optional<int> max_retries;
     int priority = 0;
-    std::uint64_t only = 0;                  // groups of targets, as GroupsOf numbers them
-    std::optional<std::string_view> tenant;  // good until the next request is judged
-    const std::string* refuse = nullptr;     // the reason; good until the rules change
-    const std::string* rate = nullptr;       // over this rate: refused, and may come back after `wait`
-    Micros wait = 0;
-    const std::string* marked_by = nullptr;  // the rule, where it says `mark`
+    std::uint64_t required_groups = 0;           // groups of targets, as GroupsOf numbers them
+    std::optional<std::string_view> tenant;      // good until the next request is judged
+    const std::string* reject_reason = nullptr;  // the reason; good until the rules change
+    const std::string* exceeded_rate =
+        nullptr;  // over this rate: refused, and may come back after `retry_after`
+    Micros retry_after = 0;
+    const std::string* marked_by_rule = nullptr;  // the rule, where it says `mark`
   };
   // `again`: the request was judged when it came, and spends nothing of its rate.
-  Judgement Judge(Micros now, const Request& request, bool again = false);
+  Decision Evaluate(Micros now, const Request& request, bool again = false);
 
   // The new rules are in force from the next request on. Throws RuleError, and all is as before. True where
   // they name groups of targets that no rules named before: each target must be told its groups anew.
--- a/src/match/source.cpp
+++ b/src/match/source.cpp
@@ -7,7 +7,7 @@
 
 std::string Render(const std::string& file, std::string_view text, const std::vector<Fault>& faults) {
   std::string out;
-  for (std::size_t i = 0; i < std::min(faults.size(), kMostFaults); ++i) {
+  for (std::size_t i = 0; i < std::min(faults.size(), kMaxReportedFaults); ++i) {
     const Fault& f = faults[i];
     const std::size_t at = std::min(f.at.begin, text.size());
     const auto [line, column] = Locate(text, at);
@@ -22,8 +22,8 @@
         std::clamp<std::size_t>(f.at.end > at ? f.at.end - at : 1, 1, std::max<std::size_t>(1, to - at));
     out += "^" + std::string(std::min<std::size_t>(wide - 1, 80), '~');
   }
-  if (faults.size() > kMostFaults)
-    out += "\n" + file + ": and " + std::to_string(faults.size() - kMostFaults) + " more";
+  if (faults.size() > kMaxReportedFaults)
+    out += "\n" + file + ": and " + std::to_string(faults.size() - kMaxReportedFaults) + " more";
   return out;
 }
 
--- a/src/match/source.h
+++ b/src/match/source.h
@@ -34,8 +34,8 @@
 };
 LineColumn Locate(std::string_view text, std::size_t at);
 
-inline constexpr std::size_t kMostFaults = 20;  // told of one file
-inline constexpr std::size_t kMostFile = 16 * 1024 * 1024;
+inline constexpr std::size_t kMaxReportedFaults = 20;  // told of one file
+inline constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024;
 
 }  // namespace heronway::match
 
--- a/src/match/value.h
+++ b/src/match/value.h
@@ -25,7 +25,7 @@
 // 16 bytes; IPv4 as ::ffff:a.b.c.d.
 using AddressBytes = std::array<std::uint8_t, 16>;
 // From the four bytes of an IPv4 address, in the network's order, as `in_addr` holds them.
-AddressBytes Mapped(const void* four);
+AddressBytes MappedIpv4(const void* four);
 // From a text of either kind. False where it is no address.
 bool ParseAddress(const std::string& text, AddressBytes& out);
 
@@ -50,12 +50,12 @@
   AddressBytes peer{};
   std::int64_t body_bytes = 0;
   std::int64_t deadline = 0;  // microseconds that the client will wait
-  bool repeat = false;
+  bool is_retry = false;
 };
 
 // The most that a front lets through, by which the worst cost of a rule file is reckoned.
-inline constexpr std::size_t kMostHead = 16 * 1024;
-inline constexpr std::size_t kMostHeaders = 256;
+inline constexpr std::size_t kMaxHeadBytes = 16 * 1024;
+inline constexpr std::size_t kMaxHeaders = 256;
 
 }  // namespace heronway::match
 
--- a/tests/fuzz/machine_fuzz.cpp
+++ b/tests/fuzz/machine_fuzz.cpp
@@ -43,7 +43,7 @@
       } else if (name == "@deadline") {
         request.deadline = std::atoll(value.c_str());
       } else if (name == "@repeat") {
-        request.repeat = true;
+        request.is_retry = true;
       } else if (name == "@peer") {
         for (std::size_t i = 0; i < 16 && i < value.size(); ++i)
           request.peer[15 - i] = static_cast<std::uint8_t>(value[i]);
@@ -94,9 +94,9 @@
     return 0;  // over a bound, or its own tests fail
   }
   for (int twice = 0; twice < 2; ++twice) {  // the second time on a machine that was used
-    const Verdict& v = rules->Match(sample.request);
+    const MatchResult& v = rules->Match(sample.request);
     const auto walked = Walked(file, sample.request);
-    bool same = v.count == std::min(walked.size(), Verdict::kMostRules);
+    bool same = v.count == std::min(walked.size(), MatchResult::kMaxRecordedRules);
     for (std::size_t i = 0; same && i + 1 < v.count; ++i) same = v.matched[i] == walked[i];
     if (same && v.count > 0) same = v.matched[v.count - 1] == walked.back();
     if (same && v.key) {  // it is the first key that any of them has
--- a/tests/match/match_test.cpp
+++ b/tests/match/match_test.cpp
@@ -76,15 +76,15 @@
   Request r;
   r.path = "/album-save/1";
   r.headers = headers;
-  const Verdict v = rules.Match(r);
+  const MatchResult v = rules.Match(r);
   ASSERT_EQ(v.count, 1u);
   EXPECT_EQ(rules.NameOf(v.matched[0]), "albums");
   EXPECT_EQ(*v.rate_by, "none");
-  EXPECT_EQ(*v.repeats, 1);
+  EXPECT_EQ(*v.max_retries, 1);
   EXPECT_FALSE(v.tenant);
-  r.repeat = true;
+  r.is_retry = true;
   r.path = "/x";
-  EXPECT_EQ(*rules.Match(r).refuse, "no repeats here");
+  EXPECT_EQ(*rules.Match(r).reject_reason, "no repeats here");
   EXPECT_EQ(rules.hits(1), 1u);
 }
 
@@ -208,7 +208,7 @@
              std::to_string(i - 1) + "\n";
   Rules rules("f", chain + "rule r { when c29 }");  // 2^29 steps if it were written out
   Request r;
-  r.repeat = true;
+  r.is_retry = true;
   EXPECT_EQ(rules.Match(r).count, 1u);
 }
 
@@ -235,7 +235,7 @@
         "rule r" + std::to_string(i) + " { when segment(1) == \"c" + std::to_string(i) + "\" class \"c\" }\n";
   text += "rule last { class \"d\" }";
   Rules rules("f", text);
-  EXPECT_LT(rules.worst_cost(), 10'000);
+  EXPECT_LT(rules.worst_cost_ns(), 10'000);
   Request r;
   r.path = "/c4321/x";
   EXPECT_EQ(rules.NameOf(rules.Match(r).matched[0]), "r4321");
@@ -249,9 +249,9 @@
                       rule c { class "three" })");
   Request r;
   r.path = "/x";
-  const Verdict v = rules.Match(r);
+  const MatchResult v = rules.Match(r);
   EXPECT_EQ(*v.job_class, "one");
-  EXPECT_EQ(*v.repeats, 2);
+  EXPECT_EQ(*v.max_retries, 2);
   EXPECT_EQ(v.count, 2u);
   EXPECT_TRUE(v.mark);
 }
@@ -274,7 +274,7 @@
               "rule r { when matches(header(\"X\"), \"(a*)*b\") or matches(header(\"X\"), \"" + alternatives +
                   "\") or lower(header(\"X\")) == \"q\" }",
               {200'000});
-  const Headers headers = {{"X", std::string(kMostHead, 'a')}};
+  const Headers headers = {{"X", std::string(kMaxHeadBytes, 'a')}};
   Request r;
   r.headers = headers;
   rules.Match(r);  // the expressions' own tables are built by their first use
@@ -292,7 +292,7 @@
     text += "rule r" + std::to_string(i) + " { when matches(header(\"X\"), \"(a*)*q" + std::to_string(i) +
             "$\") or lookup(m, path) == \"c\" or prefix(path, \"/z" + std::to_string(i) + "\") }\n";
   Rules rules("f", text, {1e9});
-  Headers headers = {{"X", std::string(kMostHead, 'a')}};
+  Headers headers = {{"X", std::string(kMaxHeadBytes, 'a')}};
   Request r;
   r.headers = headers;
   for (const char* end : {"", "q37"}) {
@@ -389,7 +389,7 @@
       Request r;
       r.path = k % 2 == 0 ? "/a" : "ab";
       r.headers = k < 2 ? some : both;
-      r.repeat = k == 3;
+      r.is_retry = k == 3;
       const bool walked = Walk(r).Eval(*file.rules[0].when).number != 0;
       ASSERT_EQ(rules.Match(r).count == 1, walked) << expression;
       held += walked ? 1 : 0;
--- a/tests/match/rules_test.cpp
+++ b/tests/match/rules_test.cpp
@@ -85,7 +85,7 @@
 // The texts of one request share one head: tests of two headers cost no more than the dearer one's.
 TEST(Cost, BytesAreReckonedOnceForAllFields) {
   const auto worst = [](const std::string& when) {
-    return Rules("f", "rule r { when " + when + " }", {1e9}).worst_cost();
+    return Rules("f", "rule r { when " + when + " }", {1e9}).worst_cost_ns();
   };
   const double
       one = worst("matches(header(\"A\"), \"x\")"),
@@ -141,14 +141,14 @@
       const std::string path = text() + (below(3) == 0 ? text() : "");
       Request r;
       r.path = path;
-      r.repeat = below(2) == 0;
+      r.is_retry = below(2) == 0;
       std::vector<std::uint32_t> walked;
       for (std::uint32_t i = 0; i < tree.rules.size(); ++i) {
         if (Walk(r).Eval(*tree.rules[i].when).number == 0) continue;
         walked.push_back(i);
         if (!tree.rules[i].goes_on) break;
       }
-      const Verdict& v = rules.Match(r);
+      const MatchResult& v = rules.Match(r);
       ASSERT_EQ(std::vector<std::uint32_t>(v.matched.begin(), v.matched.begin() + static_cast<int>(v.count)),
                 std::vector<std::uint32_t>(
                     walked.begin(), walked.begin() + std::min<long>(16, walked.end() - walked.begin())))
@@ -166,7 +166,7 @@
     text += "rule r" + std::to_string(i) + " { when prefix(path, \"/p" + std::to_string(i) + "/\") mark }\n";
   }
   Rules rules("f", text);
-  EXPECT_LT(rules.worst_cost(), 10'000);
+  EXPECT_LT(rules.worst_cost_ns(), 10'000);
   Request r;
   r.path = "/p4321/x";
   EXPECT_EQ(rules.NameOf(rules.Match(r).matched[0]), "r4321");
@@ -190,7 +190,7 @@
   Request r;
   r.headers = headers;
   EXPECT_EQ(rules.NameOf(rules.Match(r).matched[0]), "r37");
-  headers[0].second = std::string(kMostHead, 'a');
+  headers[0].second = std::string(kMaxHeadBytes, 'a');
   EXPECT_EQ(rules.Match(r).count, 0u);
 }
 
@@ -221,9 +221,9 @@
       Served("map c = { \"thumb\": \"preview\", \"put\": \"save\" }\nrule r { class lookup(c, segment(1)) }");
   Request r;
   r.path = "/put/1";
-  EXPECT_EQ(s.Judge(0, r).job_class, 1);
+  EXPECT_EQ(s.Evaluate(0, r).job_class, 1);
   r.path = "/other";
-  EXPECT_EQ(s.Judge(0, r).job_class, -1);
+  EXPECT_EQ(s.Evaluate(0, r).job_class, -1);
   EXPECT_TRUE(
       Has(FaultOf([] { Served("map c = { \"thumb\": \"nothing\" }\nrule r { class lookup(c, path) }"); }),
           "f:1:20: class nothing is none of the site's"));
@@ -237,13 +237,13 @@
   Request r;
   r.path = "/x";
   r.headers = headers;
-  const auto j = s.Judge(0, r);
-  EXPECT_EQ(j.only, s.GroupsOf("b", "m", {"gpu"}));  // what the first says of the zone stays
-  EXPECT_NE(j.only & s.GroupsOf("b", "m", {}), j.only);
+  const auto j = s.Evaluate(0, r);
+  EXPECT_EQ(j.required_groups, s.GroupsOf("b", "m", {"gpu"}));  // what the first says of the zone stays
+  EXPECT_NE(j.required_groups & s.GroupsOf("b", "m", {}), j.required_groups);
   EXPECT_EQ(j.priority, 3);
   EXPECT_EQ(j.tenant, "us");
   EXPECT_FALSE(s.Replace("f", "rule t { targets zone \"b\" }"));
-  EXPECT_EQ(s.Judge(0, r).only & j.only, s.Judge(0, r).only);
+  EXPECT_EQ(s.Evaluate(0, r).required_groups & j.required_groups, s.Evaluate(0, r).required_groups);
   EXPECT_TRUE(s.Replace("f", "rule t { targets label \"ssd\" }"));
   EXPECT_TRUE(
       Has(FaultOf([&] { s.Replace("f", "rule t { targets zone \"c\" }"); }), "zone c is none of the site's"));
@@ -251,7 +251,8 @@
   for (int i = 0; i < 65; ++i)
     many += "rule r" + std::to_string(i) + " { targets label \"l" + std::to_string(i) + "\" continue }\n";
   EXPECT_TRUE(Has(FaultOf([&] { s.Replace("f", many); }), "more than 64"));
-  EXPECT_EQ(s.Judge(0, r).only, s.GroupsOf("a", "m", {"ssd"}) & ~s.GroupsOf("a", "m", {}));  // as before
+  EXPECT_EQ(s.Evaluate(0, r).required_groups,
+            s.GroupsOf("a", "m", {"ssd"}) & ~s.GroupsOf("a", "m", {}));  // as before
 }
 
 // A key or rate from a header is the client's to choose: it can take no more than its own places.
@@ -260,16 +261,16 @@
   Headers headers = {{"K", "abc"}};
   Request r;
   r.headers = headers;
-  const auto first = s.Judge(1, r);
+  const auto first = s.Evaluate(1, r);
   EXPECT_EQ(first.key, 0x44bc2cf5ad770999ULL);  // XXH64 of "abc", seed 0, as published
-  EXPECT_EQ(first.rate, nullptr);
-  EXPECT_NE(s.Judge(2, r).rate, nullptr);
+  EXPECT_EQ(first.exceeded_rate, nullptr);
+  EXPECT_NE(s.Evaluate(2, r).exceeded_rate, nullptr);
   for (int i = 0; i < 2000; ++i) {
     headers[0].second = "crafted" + std::to_string(i);
-    s.Judge(3, r);
+    s.Evaluate(3, r);
   }
   headers[0].second = "abc";
-  EXPECT_NE(s.Judge(4, r).rate, nullptr);
+  EXPECT_NE(s.Evaluate(4, r).exceeded_rate, nullptr);
 }
 
 // ---- what the operators read
--- a/tests/match/walk.h
+++ b/tests/match/walk.h
@@ -109,7 +109,7 @@
     if (n.text == "queue") return Maybe(r.queue);
     Value v;
     v.address = r.peer;
-    v.number = n.text == "body_bytes" ? r.body_bytes : n.text == "deadline" ? r.deadline : r.repeat ? 1 : 0;
+    v.number = n.text == "body_bytes" ? r.body_bytes : n.text == "deadline" ? r.deadline : r.is_retry ? 1 : 0;
     return v;
   }
 
