--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -16,12 +16,12 @@
 
 #include "src/durable/sqlite_store.h"
 #include "src/durable/writer.h"
-#include "tests/net/story.h"
+#include "tests/net/e2e_harness.h"
 
 namespace {
 
 using namespace heronway::durable;
-using story::Now;
+using e2e::Now;
 
 struct Figures {
   double per_s = 0, p50_ms = 0, p99_ms = 0;
@@ -90,7 +90,7 @@
 // A folder with what the program needs; the program in it.
 struct Served {
   static int FreePort() {
-    story::Peer peer;
+    e2e::Peer peer;
     const int port = std::stoi(peer.at.substr(peer.at.find(':') + 1));
     peer.Close();
     return port;
@@ -99,7 +99,7 @@
   explicit Served(const std::string& in, int index = 0, int copies = 1) : folder(in) {
     port = FreePort();
     std::string cluster;
-    story::Site site;
+    e2e::Site site;
     site.sockets = 1024;
     if (copies > 1) {
       const auto at = [](int i, int p) {
@@ -150,7 +150,7 @@
   // Of its Faktory front's copies, those that count.
   int Voters() const {
     const std::string all =
-        story::Conn::To(console).Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
+        e2e::Conn::To(console).Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
     int voters = 0;
     const auto own = all.find("\"front\":\"faktory\",\"group\":\"s0/"), end = all.find(']', own);
     for (auto at = all.find("\"votes\":true", own); at < end; at = all.find("\"votes\":true", at + 1))
@@ -177,8 +177,8 @@
     others.emplace_back(folder + "/" + std::to_string(i), i, copies).Start();
   }
   if (copies > 1) {
-    story::Pause(1);
-    for (const double until = Now() + 30; served.Voters() < copies; story::Pause(0.1)) {
+    e2e::Pause(1);
+    for (const double until = Now() + 30; served.Voters() < copies; e2e::Pause(0.1)) {
       if (Now() > until) throw std::runtime_error("copies: they are not there in time");
     }
   }
@@ -189,7 +189,7 @@
   std::vector<Client> all(static_cast<std::size_t>(clients));
   const int poll = epoll_create1(EPOLL_CLOEXEC);
   for (std::size_t i = 0; i < all.size(); ++i) {
-    while ((all[i].fd = served.Connect()) < 0) story::Pause(0.01);
+    while ((all[i].fd = served.Connect()) < 0) e2e::Pause(0.01);
     epoll_event e{EPOLLIN, {.u64 = i}};
     epoll_ctl(poll, EPOLL_CTL_ADD, all[i].fd, &e);
   }
@@ -305,7 +305,7 @@
       const double began = Now();
       served.Start();
       int fd = -1;
-      while ((fd = served.Connect()) < 0) story::Pause(0.0005);
+      while ((fd = served.Connect()) < 0) e2e::Pause(0.0005);
       char hi[64];
       if (recv(fd, hi, sizeof hi, 0) <= 0) throw std::runtime_error("recovery: no greeting");
       took.push_back((Now() - began) * 1e3);
--- a/tests/faults/fleet.cpp
+++ b/tests/faults/fleet.cpp
@@ -14,7 +14,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "tests/net/story.h"
+#include "tests/net/e2e_harness.h"
 
 namespace heronway::faults {
 namespace {
@@ -134,12 +134,12 @@
                                         seed * 100 + static_cast<std::uint64_t>(i * kWorkers + w)));
       const rig::Entry entry = m->workers.back()->entry();
       m->discovery->Tell(entry);
-      targets += (targets.empty() ? "" : ",") + story::Target(entry.name, entry.at);
+      targets += (targets.empty() ? "" : ",") + e2e::Target(entry.name, entry.at);
     }
     m->at = rig::OwnHost(1 + i) + ":8080";
     m->console = rig::OwnHost(1 + i) + ":15000";
     for (const auto& w : m->workers) w->CallBackTo(m->at);
-    story::Site site;
+    e2e::Site site;
     site.discovery = m->discovery->address();
     site.targets = targets;
     site.listen = m->at;
@@ -317,9 +317,9 @@
   if (m.stopped) kill(m.pid, SIGCONT);
   kill(m.pid, signal);
   int status = 0;
-  const double until = story::Now() + kEndWithin;
+  const double until = e2e::Now() + kEndWithin;
   while (waitpid(m.pid, &status, WNOHANG) == 0) {
-    if (story::Now() > until) {
+    if (e2e::Now() > until) {
       Note("hangs", m.index);
       kill(m.pid, SIGKILL);
     }
@@ -445,9 +445,9 @@
   for (auto& m : members_) {
     if (std::find(plan_.late.begin(), plan_.late.end(), m->index) == plan_.late.end()) Start(*m);
   }
-  const double until = story::Now() + kStartWithin;
+  const double until = e2e::Now() + kStartWithin;
   while (std::any_of(members_.begin(), members_.end(), [](const auto& m) { return m->pid > 0 && !m->up; })) {
-    if (story::Now() > until) throw std::runtime_error("a member did not start");
+    if (e2e::Now() > until) throw std::runtime_error("a member did not start");
     Turn(0.05);
   }
   if (plan_.takeover_ms > 0) {
--- a/tests/net/copies_story.cpp
+++ b/tests/net/copies_e2e_test.cpp
@@ -1,9 +1,9 @@
 // Stories of copies, three processes each: a scheduler that is lost with its disk, one that is left with a
 // minority of its copies, and one that comes back.
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
-using namespace story;
+using namespace e2e;
 
 const std::string kFaktory = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"\"}";
 
@@ -17,7 +17,7 @@
 // Schedulers s1 and on, each with a disk of its own.
 class Trio {
  public:
-  // `targets`: of all three, as story::Site has them.
+  // `targets`: of all three, as e2e::Site has them.
   explicit Trio(int takeover_ms = 0, const std::string& targets = "")
       : takeover_ms_(takeover_ms), targets_(targets) {
     char name[] = "/tmp/heronway-copies-XXXXXX";
@@ -374,14 +374,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return story::Run(argc, argv,
-                    {{"lost_disk", LostDisk},
-                     {"minority", Minority},
-                     {"restart", Restart},
-                     {"takeover", Takeover},
-                     {"back_at_once", BackAtOnce},
-                     {"same_key", SameKey},
-                     {"egress", Egress},
-                     {"given_back", GivenBack},
-                     {"asleep", Asleep}});
+  return e2e::Run(argc, argv,
+                  {{"lost_disk", LostDisk},
+                   {"minority", Minority},
+                   {"restart", Restart},
+                   {"takeover", Takeover},
+                   {"back_at_once", BackAtOnce},
+                   {"same_key", SameKey},
+                   {"egress", Egress},
+                   {"given_back", GivenBack},
+                   {"asleep", Asleep}});
 }
--- a/tests/net/durable_story.cpp
+++ b/tests/net/durable_e2e_test.cpp
@@ -5,10 +5,10 @@
 #include <ctime>
 #include <filesystem>
 
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
-using namespace story;
+using namespace e2e;
 
 const std::string kFaktory = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"\"}";
 
@@ -375,14 +375,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return story::Run(argc, argv,
-                    {{"crashes", Crashes},
-                     {"stops", Stops},
-                     {"both_die", BothDie},
-                     {"http_joins", HttpJoins},
-                     {"http_resumes", HttpResumes},
-                     {"slow_store", SlowStore},
-                     {"stop_answers", StopAnswers},
-                     {"operators", Operators},
-                     {"faults", Faults}});
+  return e2e::Run(argc, argv,
+                  {{"crashes", Crashes},
+                   {"stops", Stops},
+                   {"both_die", BothDie},
+                   {"http_joins", HttpJoins},
+                   {"http_resumes", HttpResumes},
+                   {"slow_store", SlowStore},
+                   {"stop_answers", StopAnswers},
+                   {"operators", Operators},
+                   {"faults", Faults}});
 }
--- a/tests/net/story.h
+++ b/tests/net/e2e_harness.h
@@ -1,7 +1,7 @@
 // What the loopback stories share: the program as a child process, scripted peers on blocking sockets, and
 // the audit of the rules. Everything has a limit of time; a check that fails ends the story.
-#ifndef HERONWAY_TESTS_NET_STORY_H_
-#define HERONWAY_TESTS_NET_STORY_H_
+#ifndef HERONWAY_TESTS_NET_E2E_HARNESS_H_
+#define HERONWAY_TESTS_NET_E2E_HARNESS_H_
 
 #undef NDEBUG
 #include <arpa/inet.h>
@@ -26,7 +26,7 @@
 #include <utility>
 #include <vector>
 
-namespace story {
+namespace e2e {
 
 inline double Now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -178,7 +178,7 @@
  public:
   explicit Program(const std::string& config, const std::string& faktory = "{\"enabled\":false}",
                    const std::string& options = "{}") {
-    char folder[] = "/tmp/heronway-story-XXXXXX";
+    char folder[] = "/tmp/heronway-e2e-XXXXXX";
     assert(mkdtemp(folder) != nullptr);
     folder_ = folder;
     std::ofstream(folder_ + "/config.json") << config;
@@ -397,6 +397,6 @@
   return 0;
 }
 
-}  // namespace story
+}  // namespace e2e
 
-#endif  // HERONWAY_TESTS_NET_STORY_H_
+#endif  // HERONWAY_TESTS_NET_E2E_HARNESS_H_
--- a/tests/net/faktory_story.cpp
+++ b/tests/net/faktory_e2e_test.cpp
@@ -5,10 +5,10 @@
 #include <cmath>
 #include <fstream>
 
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
-using namespace story;
+using namespace e2e;
 
 const std::string kFaktory = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"\"}";
 
@@ -380,7 +380,7 @@
 // Rules on this front: class out of a map, key and tenant out of custom fields, targets by label, a rate, a
 // refusal.
 void Rules() {
-  const std::string file = "/tmp/heronway-story-faktory-rules-" + std::to_string(getpid());
+  const std::string file = "/tmp/heronway-e2e-faktory-rules-" + std::to_string(getpid());
   std::ofstream(file) << "map classes = { \"Thumbnail\": \"preview\", \"Upload\": \"save\" }\n"
                          "rate member: 1 per 10s\n"
                          "rule bad { when jobtype == \"Bad\" refuse \"not served\" }\n"
@@ -414,19 +414,19 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return story::Run(argc, argv,
-                    {{"served", Served},
-                     {"worker_dies", WorkerDies},
-                     {"fails", Fails},
-                     {"rejoin", Rejoin},
-                     {"away", Away},
-                     {"taker_gone", TakerGone},
-                     {"quiet", Quiet},
-                     {"deadline", Deadline},
-                     {"queues", Queues},
-                     {"bad_input", BadInput},
-                     {"cold", Cold},
-                     {"storm", Storm},
-                     {"term", Term},
-                     {"rules", Rules}});
+  return e2e::Run(argc, argv,
+                  {{"served", Served},
+                   {"worker_dies", WorkerDies},
+                   {"fails", Fails},
+                   {"rejoin", Rejoin},
+                   {"away", Away},
+                   {"taker_gone", TakerGone},
+                   {"quiet", Quiet},
+                   {"deadline", Deadline},
+                   {"queues", Queues},
+                   {"bad_input", BadInput},
+                   {"cold", Cold},
+                   {"storm", Storm},
+                   {"term", Term},
+                   {"rules", Rules}});
 }
--- a/tests/net/http_story.cpp
+++ b/tests/net/http_e2e_test.cpp
@@ -1,10 +1,10 @@
 // Stories of the HTTP front: the whole path over loopback sockets, one for each way it can go wrong.
 #include <ctime>
 
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
-using namespace story;
+using namespace e2e;
 
 std::string Job(const std::string& id, const std::string& path = "/preview/p?q=1", int deadline_ms = 3000,
                 const std::string& body = "in") {
@@ -621,7 +621,7 @@
 // all.
 void Rules() {
   Peer worker;
-  const std::string file = "/tmp/heronway-story-rules-" + std::to_string(getpid());
+  const std::string file = "/tmp/heronway-e2e-rules-" + std::to_string(getpid());
   const auto write = [&file](const std::string& text) { std::ofstream(file) << text; };
   write(
       "rate slow: 1 per 10s\n"
@@ -659,7 +659,7 @@
 // Rules that name targets: a job goes to no other, and new rules hold for the targets that were there before.
 void Targets() {
   Peer first, second;
-  const std::string file = "/tmp/heronway-story-targets-" + std::to_string(getpid());
+  const std::string file = "/tmp/heronway-e2e-targets-" + std::to_string(getpid());
   const auto write = [&file](const std::string& text) { std::ofstream(file) << text; };
   write("rule b { when segment(1) == \"preview\" targets zone \"b\" tenant header(\"X-Who\") }\n");
   Site site;
@@ -693,28 +693,28 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return story::Run(argc, argv,
-                    {{"served", Served},
-                     {"targets", Targets},
-                     {"late_news", LateNews},
-                     {"reset", Reset},
-                     {"silent", Silent},
-                     {"kept", Kept},
-                     {"never_ran", NeverRan},
-                     {"deadline", Deadline},
-                     {"client_gone", ClientGone},
-                     {"bad_input", BadInput},
-                     {"bad_clients", BadClients},
-                     {"third", Third},
-                     {"shed_at_once", ShedAtOnce},
-                     {"draining", Draining},
-                     {"reload", Reload},
-                     {"paced", Paced},
-                     {"rules", Rules},
-                     {"term", Term},
-                     {"term_short", TermShort},
-                     {"wrong_clock", WrongClock},
-                     {"unheard_restart", UnheardRestart},
-                     {"crowd", Crowd},
-                     {"hop_lines", HopLines}});
+  return e2e::Run(argc, argv,
+                  {{"served", Served},
+                   {"targets", Targets},
+                   {"late_news", LateNews},
+                   {"reset", Reset},
+                   {"silent", Silent},
+                   {"kept", Kept},
+                   {"never_ran", NeverRan},
+                   {"deadline", Deadline},
+                   {"client_gone", ClientGone},
+                   {"bad_input", BadInput},
+                   {"bad_clients", BadClients},
+                   {"third", Third},
+                   {"shed_at_once", ShedAtOnce},
+                   {"draining", Draining},
+                   {"reload", Reload},
+                   {"paced", Paced},
+                   {"rules", Rules},
+                   {"term", Term},
+                   {"term_short", TermShort},
+                   {"wrong_clock", WrongClock},
+                   {"unheard_restart", UnheardRestart},
+                   {"crowd", Crowd},
+                   {"hop_lines", HopLines}});
 }
--- a/tests/net/ops_story.cpp
+++ b/tests/net/ops_e2e_test.cpp
@@ -1,8 +1,8 @@
 // Stories of the operators' days: a second process beside the first, the console, settings that change.
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
-using namespace story;
+using namespace e2e;
 
 std::string Job(const std::string& id, const std::string& path = "/preview/p", int deadline_ms = 3000) {
   return "POST " + path + " HTTP/1.1\r\nHost: s\r\nReq-Id: " + id +
@@ -307,15 +307,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return story::Run(argc, argv,
-                    {{"upgrade", Upgrade},
-                     {"drain", Drain},
-                     {"foreign_news", ForeignNews},
-                     {"console_stall", ConsoleStall},
-                     {"console_behind", ConsoleBehind},
-                     {"last_bytes", LastBytes},
-                     {"members", Members},
-                     {"flood", Flood},
-                     {"news", News},
-                     {"cluster_off", ClusterOff}});
+  return e2e::Run(argc, argv,
+                  {{"upgrade", Upgrade},
+                   {"drain", Drain},
+                   {"foreign_news", ForeignNews},
+                   {"console_stall", ConsoleStall},
+                   {"console_behind", ConsoleBehind},
+                   {"last_bytes", LastBytes},
+                   {"members", Members},
+                   {"flood", Flood},
+                   {"news", News},
+                   {"cluster_off", ClusterOff}});
 }
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -4,22 +4,22 @@
 #include <gtest/gtest.h>
 
 #define HERONWAY_PROGRAM ""  // no process is started by these tests
+#include "e2e_harness.h"
 #include "src/config/config.h"
 #include "src/config/options.h"
 #include "src/fronts/http/front.h"
-#include "story.h"
 
 namespace heronway {
 namespace {
 
-using story::Conn;
-using story::Has;
-using story::Now;
-using story::Peer;
-using story::Target;
+using e2e::Conn;
+using e2e::Has;
+using e2e::Now;
+using e2e::Peer;
+using e2e::Target;
 
-story::Site OneTarget(const Peer& worker) {
-  story::Site site;
+e2e::Site OneTarget(const Peer& worker) {
+  e2e::Site site;
   site.targets = Target("w0", worker.at);
   return site;
 }
@@ -30,7 +30,7 @@
 }
 
 struct SteppedFront {
-  explicit SteppedFront(const story::Site& site, bool may_cancel = true) {
+  explicit SteppedFront(const e2e::Site& site, bool may_cancel = true) {
     std::string json = site.Json();
     json.insert(json.find("\"mayCancel\""), "\"dialTimeout\":5000000,");
     if (!may_cancel) json.replace(json.find("\"mayCancel\":true"), 16, "\"mayCancel\":false");
@@ -38,7 +38,7 @@
     context.log_connections = false;
     front =
         std::make_unique<http::Front>(context, config, options, false, nullptr, [this] { drained = true; });
-    if (site.discovery != story::Site().discovery) return;  // the test acts as discovery
+    if (site.discovery != e2e::Site().discovery) return;  // the test acts as discovery
     EXPECT_TRUE(RunUntil([this] { return front->Ready(); }));
   }
   Conn Client() {
@@ -171,7 +171,7 @@
   call.Send(CallbackRequest("aa01", "w0", kDone));
   // The loop does not run meanwhile: in its next iteration the timeout comes first and the callback is read
   // after.
-  story::Pause(0.5);
+  e2e::Pause(0.5);
   EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
   EXPECT_TRUE(Has(s.ReadNext(hop), "DELETE /jobs/aa01")) << "the test did not force the order";
   s.RunFor(0.1);
@@ -183,7 +183,7 @@
 TEST(EventOrder, AHopWhoseDialFailedHasNotRun) {
   Peer full(0), worker;  // the first one's accept queue is full
   const std::vector<Conn> waiting = full.Fill();
-  story::Site site;
+  e2e::Site site;
   site.targets = Target("w0", full.at, "a") + "," + Target("w1", worker.at, "b");
   SteppedFront s(site);
   Conn client = s.Client();
@@ -211,7 +211,7 @@
 // connection is established after both.
 TEST(EventOrder, ATargetThatDrainsWhileItIsDialledGetsNoHop) {
   Peer discovery, worker;
-  story::Site site;
+  e2e::Site site;
   site.discovery = discovery.at;
   site.targets = Target("w0", worker.at);
   SteppedFront s(site);
@@ -268,7 +268,7 @@
   Conn client = s.Client();
   client.Send(JobRequest("aa01", "/preview", 2000));
   ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0); }));
-  story::Pause(0.3);  // the connection is established, and the front has not noticed yet
+  e2e::Pause(0.3);  // the connection is established, and the front has not noticed yet
   Conn hop = worker.Accept();
   const std::string got = s.ReadNext(hop);
   const auto at = got.find("Req-Deadline-Ms: ");
@@ -313,7 +313,7 @@
   s.front->Drain();
   client.Send(JobRequest("aa01"));
   // The loop does not run meanwhile: the timeout and the request fall into one iteration.
-  story::Pause(kTimeToClose);
+  e2e::Pause(kTimeToClose);
   ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0) || client.Ended(0); }));
   ASSERT_TRUE(worker.Called(0)) << "closed with an unread request";
   Conn hop = worker.Accept();
@@ -332,7 +332,7 @@
   client.Send(job.substr(0, 20));
   s.RunFor(0.05);
   client.Send(job.substr(20));
-  story::Pause(static_cast<double>(http::Front::kFirstRequestTime) / 1e6);  // the loop does not run meanwhile
+  e2e::Pause(static_cast<double>(http::Front::kFirstRequestTime) / 1e6);  // the loop does not run meanwhile
   ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0) || !client.Quiet(0); }));
   ASSERT_TRUE(worker.Called(0)) << client.Http();
   Conn hop = worker.Accept();
@@ -370,7 +370,7 @@
   ASSERT_TRUE(Has(s.ReadNext(client), " 200 "));
   s.front->Drain();
   // The loop does not run meanwhile: the second signal comes before the first one's timeout is handled.
-  story::Pause(kTimeToClose);
+  e2e::Pause(kTimeToClose);
   s.front->Drain();
   EXPECT_TRUE(s.RunUntil([&] { return client.Ended(0); }, kTimeToClose / 2));
 }
--- a/tests/net/watch_story.cpp
+++ b/tests/net/watch_e2e_test.cpp
@@ -1,8 +1,8 @@
 // Stories of the watch on discovery: when it must be opened anew, whatever became of the call before.
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
-using namespace story;
+using namespace e2e;
 
 // What discovery has counts as told 6 s later; fresh work must have stopped a grace after that.
 constexpr double kCountsAsTold = 6;
@@ -215,13 +215,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return story::Run(argc, argv,
-                    {{"cached_list", CachedList},
-                     {"torn_for_long", TornForLong},
-                     {"silent", Silent},
-                     {"down", Down},
-                     {"older", Older},
-                     {"endless", Endless},
-                     {"behind", Behind},
-                     {"crowded", Crowded}});
+  return e2e::Run(argc, argv,
+                  {{"cached_list", CachedList},
+                   {"torn_for_long", TornForLong},
+                   {"silent", Silent},
+                   {"down", Down},
+                   {"older", Older},
+                   {"endless", Endless},
+                   {"behind", Behind},
+                   {"crowded", Crowded}});
 }
--- a/tests/rig/durable_rig.cpp
+++ b/tests/rig/durable_rig.cpp
@@ -22,11 +22,11 @@
 #include <sstream>
 #include <thread>
 
-#include "story.h"
+#include "e2e_harness.h"
 
 namespace {
 
-using story::Now;
+using e2e::Now;
 using Random = std::mt19937;
 
 constexpr double kWindow = 20;  // of the site's keyed classes, seconds
@@ -67,7 +67,7 @@
         return true;
       }
       char buffer[65536];
-      if (fd_ < 0 || !story::Readable(fd_, until - Now())) return false;
+      if (fd_ < 0 || !e2e::Readable(fd_, until - Now())) return false;
       const ssize_t got = recv(fd_, buffer, sizeof buffer, 0);
       if (got <= 0) return false;
       in_.append(buffer, static_cast<std::size_t>(got));
@@ -103,7 +103,7 @@
   for (;;) {
     if (!link.open() && !link.Hello(port, wid, zone)) {
       link.Close();
-      story::Pause(0.005);
+      e2e::Pause(0.005);
       continue;
     }
     if (!owed.empty()) {
@@ -130,7 +130,7 @@
     seen << "D " << jid << ' ' << wid << ' ' << zone << ' ' << Now();
     Note(ledger, seen.str());
     // Most are short; some stall for longer than two signs of life are apart.
-    story::Pause(Uniform(random, 19) == 0 ? 0.24 : Uniform(random, 15) * 0.001);
+    e2e::Pause(Uniform(random, 19) == 0 ? 0.24 : Uniform(random, 15) * 0.001);
     const bool fails = Uniform(random, 19) == 0;
     Note(ledger, (fails ? "F " : "A ") + jid);
     owed = (fails ? "FAIL" : "ACK") + std::string(" {\"jid\":\"" + jid + "\"}");
@@ -150,7 +150,7 @@
     if (mkdtemp(name) == nullptr) throw std::runtime_error("no folder");
     folder_ = name;
     port_ = FreePort();
-    std::ofstream(folder_ + "/config.json") << story::Site().Json();
+    std::ofstream(folder_ + "/config.json") << e2e::Site().Json();
     std::ofstream(folder_ + "/faktory.json")
         << "{\"enabled\":true,\"listen\":\"127.0.0.1:" << port_ << "\",\"password\":\"\"}";
     std::ofstream(folder_ + "/options.json")
@@ -174,7 +174,7 @@
     for (int i = 0; i < 3; ++i) clients.emplace_back([this, i] { Push(i); });
     const double began = Now();
     for (int kills = 0; kills < o_.kills;) {
-      story::Pause(0.02 + Uniform(random_, 250) * 0.001);
+      e2e::Pause(0.02 + Uniform(random_, 250) * 0.001);
       const int what = Uniform(random_, 99);
       const int worker = Uniform(random_, o_.workers - 1);
       if (what < 60) {
@@ -187,7 +187,7 @@
         ++worker_kills_;
         ++kills;
       }
-      if (Uniform(random_, 1) == 0) story::Pause(Uniform(random_, 60) * 0.001);
+      if (Uniform(random_, 1) == 0) e2e::Pause(Uniform(random_, 60) * 0.001);
       if (what >= 45) StartWorker(worker);
       if (what < 60) StartProgram();
     }
@@ -209,7 +209,7 @@
 
  private:
   static int FreePort() {
-    story::Peer peer;
+    e2e::Peer peer;
     return std::stoi(peer.at.substr(peer.at.find(':') + 1));
   }
   void Kill(pid_t& pid) {
@@ -250,7 +250,7 @@
       while (!taken && !stop_) {
         if (!link.open() && !link.Hello(port_, "", "")) {
           link.Close();
-          story::Pause(0.005);
+          e2e::Pause(0.005);
           continue;
         }
         if (!link.Ask(push, line)) {
@@ -258,13 +258,13 @@
           continue;
         }
         taken = line == "+OK";
-        if (!taken) story::Pause(0.05);
+        if (!taken) e2e::Pause(0.05);
       }
       if (taken) {
         const std::lock_guard hold(lock_);
         acknowledged_[jid] = job_class;
       }
-      story::Pause(3.0 / o_.per_s);
+      e2e::Pause(3.0 / o_.per_s);
     }
   }
 
@@ -276,7 +276,7 @@
     while (Now() < until) {
       if (!link.open() && !link.Hello(port_, "", "")) {
         link.Close();
-        story::Pause(0.02);
+        e2e::Pause(0.02);
         continue;
       }
       if (!link.Ask("INFO", line) || !link.Line(line)) {
@@ -290,7 +290,7 @@
               f["tasks"]["Retries"]["size"].asInt() ==
           0)
         return true;
-      story::Pause(0.05);
+      e2e::Pause(0.05);
     }
     return false;
   }
--- a/tests/rig/learn_rig.cpp
+++ b/tests/rig/learn_rig.cpp
@@ -10,7 +10,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "story.h"
+#include "e2e_harness.h"
 #include "tests/rig/rig.h"
 
 using namespace heronway;
@@ -54,14 +54,14 @@
   const auto start = [&](int i) {
     const bool misled = told == "wrong" && i == 1;
     const rig::Discovery& list = misled ? wrong : discovery;
-    story::Site site;
+    e2e::Site site;
     site.discovery = list.address();
     for (int w = 0; w < workers; ++w) {
       const rig::Entry e = fleet[static_cast<std::size_t>(w)]->entry();
       site.targets +=
-          (site.targets.empty() ? "" : ",") + story::Target(e.name, !misled    ? e.at
-                                                                    : w < dead ? fleet.back()->entry().at
-                                                                               : "127.0.0.1:1");
+          (site.targets.empty() ? "" : ",") + e2e::Target(e.name, !misled    ? e.at
+                                                                  : w < dead ? fleet.back()->entry().at
+                                                                             : "127.0.0.1:1");
     }
     site.console = "127.0.0.1:0";
     site.sockets = 1024;
@@ -73,12 +73,12 @@
     const std::string cluster = "{\"enabled\":true,\"fleet\":\"learn\",\"name\":\"" + name +
                                 "\",\"listen\":\"" + listen + "\",\"join\":[\"" + at + ".1:7946\",\"" + at +
                                 ".2:7946\"]}";
-    return std::make_unique<story::Program>(
+    return std::make_unique<e2e::Program>(
         site.Json(), "{\"enabled\":false}",
         "{\"log\":{\"connections\":false},\"cluster\":" +
             (i == 2 && told == "nothing" ? "{\"enabled\":false}" : cluster) + "}");
   };
-  std::vector<std::unique_ptr<story::Program>> programs;
+  std::vector<std::unique_ptr<e2e::Program>> programs;
   std::vector<std::unique_ptr<rig::Crowd>> crowds;
   const auto serve = [&](double share) {
     const auto i = static_cast<int>(programs.size());
@@ -135,7 +135,7 @@
   for (const auto& c : crowds) {
     if (!c->idle()) audit.Break("a try is left without an answer");
   }
-  std::string figures = story::Conn::To(programs.back()->console_at)
+  std::string figures = e2e::Conn::To(programs.back()->console_at)
                             .Ask("GET /v1/metrics HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
   const auto figure = [&](const std::string& name) {
     const auto n = figures.find(name + "=");
--- a/tests/rig/storm_rig.cpp
+++ b/tests/rig/storm_rig.cpp
@@ -4,7 +4,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "story.h"
+#include "e2e_harness.h"
 #include "tests/rig/rig.h"
 
 using namespace heronway;
@@ -47,19 +47,18 @@
                                                   static_cast<std::uint64_t>(seed * 100 + i)));
     discovery.Tell(fleet.back()->entry());
   }
-  story::Site site;
+  e2e::Site site;
   site.discovery = discovery.address();
   for (const auto& w : fleet)
     site.targets += (site.targets.empty() ? "" : ",") +
-                    story::Target(w->entry().name, w->entry().at, w->entry().zone == 0 ? "a" : "b");
+                    e2e::Target(w->entry().name, w->entry().at, w->entry().zone == 0 ? "a" : "b");
   site.sockets = 1024;
   site.warm_up = static_cast<int>(plan.warm_up);
   site.aim = 1'200'000;
   site.deadline = 3'000'000;
-  story::Program program(site.Json(), "{\"enabled\":false}",
-                         std::string("{\"log\":{\"connections\":false,\"form\":\"") +
-                             (json ? "json" : "text") +
-                             "\"},\"limits\":{\"enabled\":" + (on ? "true" : "false") + "}}");
+  e2e::Program program(site.Json(), "{\"enabled\":false}",
+                       std::string("{\"log\":{\"connections\":false,\"form\":\"") + (json ? "json" : "text") +
+                           "\"},\"limits\":{\"enabled\":" + (on ? "true" : "false") + "}}");
   for (const auto& w : fleet) w->CallBackTo(program.at);
 
   rig::CrowdPlan crowd_plan;
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -17,8 +17,8 @@
 #include <random>
 #include <vector>
 
+#include "e2e_harness.h"
 #include "src/core/stop_times.h"
-#include "story.h"
 #include "tests/rig/rig.h"
 
 namespace {
@@ -139,8 +139,8 @@
       program_->Configure(config_());
       program_->Start();
     } else {
-      program_ = std::make_unique<story::Program>(config_(), "{\"enabled\":false}",
-                                                  "{\"log\":{\"connections\":false}}");
+      program_ = std::make_unique<e2e::Program>(config_(), "{\"enabled\":false}",
+                                                "{\"log\":{\"connections\":false}}");
     }
     unsetenv("LD_PRELOAD");
     if (deployment_.crowd && draws_.Chance(0.5)) Fill();
@@ -232,7 +232,7 @@
   char letter_;
   Deployment deployment_;
   Draws draws_;
-  std::unique_ptr<story::Program> program_;
+  std::unique_ptr<e2e::Program> program_;
   std::unique_ptr<rig::Crowd> crowd_;
   std::function<void()> then_;
   std::vector<int> idle_;
@@ -335,7 +335,7 @@
   }
 
   std::string Config(int scheduler, const std::string& at) {
-    story::Site site;
+    e2e::Site site;
     site.discovery = discovery_.address(scheduler);
     site.listen = at;
     site.sockets = plan_.sockets;
