--- a/tests/net/copies_e2e_test.cpp
+++ b/tests/net/copies_e2e_test.cpp
@@ -1,5 +1,5 @@
-// Stories of copies, three processes each: a scheduler that is lost with its disk, one that is left with a
-// minority of its copies, and one that comes back.
+// End-to-end tests of replicated job stores with three processes: a scheduler lost with its disk, one left
+// with a minority of its replicas, takeover, and a scheduler that returns.
 #include "e2e_harness.h"
 
 namespace {
@@ -14,10 +14,10 @@
   return false;
 }
 
-// Schedulers s1 and on, each with a disk of its own.
+// Three schedulers s0 to s2 in one fleet, each with its own folder for its stores.
 class Trio {
  public:
-  // `targets`: of all three, as e2e::Site has them.
+  // `targets`: route table entries of all three, as in e2e::Site.
   explicit Trio(int takeover_ms = 0, const std::string& targets = "")
       : takeover_ms_(takeover_ms), targets_(targets) {
     char name[] = "/tmp/heronway-copies-XXXXXX";
@@ -29,7 +29,7 @@
       programs_.push_back(std::make_unique<Program>(Config(), kFaktory, Options(i)));
     }
     for (int i = 0; i < 3; ++i)
-      assert(Until([&] { return Voters(i, Group(i)) == 3; }) && "three copies are kept");
+      assert(Until([&] { return Voters(i, Group(i)) == 3; }) && "each job store has three voting replicas");
   }
   ~Trio() {
     programs_.clear();
@@ -41,7 +41,7 @@
     return Conn::To((*this)[i].console_at)
         .Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
   }
-  // Of scheduler i's front, as scheduler `at` has it.
+  // Name of the replication group of scheduler i's front, as scheduler `at` reports it (default: i itself).
   std::string Group(int i, int at = -1, const std::string& front = "faktory") {
     const std::string all = Copies(at < 0 ? i : at),
                       mine = "\"group\":\"s" + std::to_string(i) + "/" + front + "/";
@@ -53,10 +53,11 @@
     const auto n = all.find("\"group\":\"" + group + "\"");
     return n != all.npos && all.compare(all.find("\"held\":", n), 11, "\"held\":true") == 0;
   }
-  // Who of the two others looks after scheduler 0's jobs by now.
+  // Waits until one of the other two schedulers has taken over scheduler 0's jobs, and returns its index.
   int Successor(const std::string& group) {
     int who = 0;
-    assert(Until([&] { return Holds(who = 1, group) || Holds(who = 2, group); }) && "another takes over");
+    assert(Until([&] { return Holds(who = 1, group) || Holds(who = 2, group); }) &&
+           "no other scheduler took over");
     return who;
   }
   void KillWithDisk(int i) {
@@ -109,7 +110,7 @@
   const std::string size = worker.Line();
   return size == "$-1\r\n" ? "" : worker.Line();
 }
-// How often each job came, all of them acknowledged.
+// Fetches and acknowledges jobs until there are none; returns how often each one was delivered.
 std::map<std::string, int> FetchAll(Conn& worker) {
   std::map<std::string, int> seen;
   for (std::string job = Fetch(worker); !job.empty(); job = Fetch(worker)) {
@@ -129,7 +130,7 @@
   assert(pclose(out) == 0);
   return text;
 }
-// The last entry of a group's copy in a folder, as term and index.
+// Term and index of the last entry of a group's replica in a folder.
 std::pair<long, long> LastOf(const std::string& folder, const std::string& group) {
   const std::string all = Run("show " + folder);
   const auto n = all.find(group);
@@ -139,7 +140,8 @@
   return last;
 }
 
-// Scheduler 0 acknowledges forty jobs, one is done and one is running, and it is gone with its disk.
+// Scheduler 0 acknowledges forty jobs, one is completed and one is running, and then it is killed and its
+// disk erased.
 void LoseAfterForty(Trio& trio) {
   {
     Conn client = Hello(trio[0]);
@@ -152,7 +154,8 @@
   trio.KillWithDisk(0);
 }
 
-// What was acknowledged is there again, once, after the scheduler and its disk are gone for good.
+// After the scheduler and its disk are lost, a restore from a replica brings back every acknowledged job,
+// once.
 void LostDisk() {
   Trio trio;
   const std::string group = trio.Group(0);
@@ -163,16 +166,16 @@
   trio[0].Start();
   Conn client = Hello(trio[0]), worker = Hello(trio[0], "w1");
   const std::map<std::string, int> seen = FetchAll(worker);
-  assert(seen.size() == 38 && "all but the one that is done and the one that may be running");
+  assert(seen.size() == 38 && "all but the completed job and the one that may be running");
   for (const auto& [jid, times] : seen) assert(times == 1 && jid != Jid(0) && jid != Jid(1));
   assert(client.Say(Push(Jid(0))) == "+OK\r\n" && Fetch(worker).empty() &&
-         "it is known, and not taken again");
+         "a known job is acknowledged and not stored again");
   assert(trio.Group(0) != group && Until([&] { return trio.Voters(0, trio.Group(0)) == 3; }) &&
-         "copied anew");
+         "the restored store is replicated in a new group");
 }
 
-// With one copy of three left nothing new is promised; with two it is again, and what was not promised is
-// known, or not, but never twice.
+// With one replica of three left no new job is acknowledged; with two it is again. A job that was not
+// acknowledged may be stored or not, but never twice.
 void Minority() {
   Trio trio;
   Conn client = Hello(trio[0]);
@@ -181,18 +184,21 @@
   trio[2].Kill();
   const double asked = Now();
   const std::string answer = client.Say(Push(Jid(1)));
-  assert(Has(answer, "-ERR") && Now() - asked < 4 && "told in time that it is not known to be stored");
+  assert(Has(answer, "-ERR") && Now() - asked < 4 &&
+         "the client gets an error in time, as the job is not known to be stored");
   assert(Until([&] { return Has(client.Say(Push(Jid(2))), "-ERR"); }));
   trio[1].Start();
   Conn again = Hello(trio[0]);
-  assert(Until([&] { return again.Say(Push(Jid(1))) == "+OK\r\n"; }) && "two of three");
+  assert(Until([&] { return again.Say(Push(Jid(1))) == "+OK\r\n"; }) &&
+         "a majority of the replicas is available again");
   Conn worker = Hello(trio[0], "w0");
   const std::map<std::string, int> seen = FetchAll(worker);
   assert(seen.at(Jid(0)) == 1 && seen.at(Jid(1)) == 1);
   for (const auto& [jid, times] : seen) assert(times == 1);
 }
 
-// Killed and started on its own disk, it leads its copies again, also where another led them meanwhile.
+// A scheduler killed and restarted on its own disk leads its group again, also after another one led it
+// meanwhile.
 void Restart() {
   Trio trio;
   const std::string group = trio.Group(0);
@@ -202,7 +208,7 @@
       for (int n = 0; n < 10; ++n) assert(client.Say(Push(Jid(10 * round + n))) == "+OK\r\n");
     }
     trio[0].Kill();
-    if (round == 2) Pause(3);  // one of the others leads it by now
+    if (round == 2) Pause(3);  // long enough for another scheduler to lead the group
     trio[0].Start();
     assert(trio.Group(0) == group);
   }
@@ -210,31 +216,32 @@
   assert(FetchAll(worker).size() == 30);
 }
 
-// Killed with its disk, and nobody does anything: another runs what was acknowledged, each job once, and the
-// word of a worker that had one at the time counts there, whichever scheduler it reaches.
+// A scheduler is lost with its disk and no operator acts: another takes over and runs each acknowledged job
+// once. The ACK of a worker that was running a job counts there, whichever scheduler it reaches.
 void Takeover() {
   Trio trio(300);
   const std::string group = trio.Group(0);
   LoseAfterForty(trio);
   const int now = trio.Successor(group);
-  // Its worker comes to the one of the two that does not hold it: the word is led to the other.
+  // The worker sends its ACK to the scheduler that does not hold the job, which forwards it to the one that
+  // does.
   Conn third = Hello(trio[3 - now], "w0"), same = Hello(trio[now], "w0"), client = Hello(trio[now]);
   assert(third.Say("ACK {\"jid\":\"" + Jid(1) + "\"}") == "+OK\r\n");
   const std::string figures =
       Conn::To(trio[now].console_at).Ask("GET /v1/metrics HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
-  assert(Has(figures, "copies.words_taken=1") && "and stored there");
+  assert(Has(figures, "copies.words_taken=1") && "the forwarded ACK is stored by the new leader");
   const std::map<std::string, int> seen = FetchAll(same);
-  assert(seen.size() == 38 && "all but the one that is done and the one that was running");
+  assert(seen.size() == 38 && "all but the completed job and the one that was running");
   for (const auto& [jid, times] : seen) assert(times == 1 && jid != Jid(0) && jid != Jid(1));
   for (int n = 0; n < 40; ++n) assert(client.Say(Push(Jid(n))) == "+OK\r\n");
-  assert(Fetch(same).empty() && "they are known there, the running one by its worker's word");
+  assert(Fetch(same).empty() && "all are known there, the running one as completed by the forwarded ACK");
   trio[0].Start();
   Conn anew = Hello(trio[0]);
   assert(anew.Say(Push(Jid(50))) == "+OK\r\n" && trio.Group(0) != group);
 }
 
-// Killed with its disk and back at once, before another looks after its jobs: they are run all the same,
-// and a client that asks for one again is told that it is known, never has it taken a second time.
+// A scheduler is killed, loses its disk and restarts before another has taken over: its jobs still run, and a
+// client that pushes one again gets it acknowledged as known and not stored a second time.
 void BackAtOnce() {
   Trio trio(300);
   const std::string group = trio.Group(0);
@@ -242,22 +249,23 @@
   trio[0].Start();
   Conn client = Hello(trio[0]);
   for (int n = 0; n < 40; ++n)
-    assert(Until([&] { return client.Say(Push(Jid(n))) == "+OK\r\n"; }) && "as soon as it can be told");
+    assert(Until([&] { return client.Say(Push(Jid(n))) == "+OK\r\n"; }) &&
+           "acknowledged once the scheduler can look the job up");
   const int now = trio.Successor(group);
   Conn here = Hello(trio[0], "w1"), other = Hello(trio[now], "w0");
-  assert(Fetch(here).empty() && "none of them is taken here");
+  assert(Fetch(here).empty() && "a known job was stored again by the restarted scheduler");
   std::map<std::string, int> seen;
-  const auto fetch = [&] {  // one that was leased as the scheduler was killed comes when that lease is over
+  const auto fetch = [&] {  // a job that was leased at the kill is delivered when that lease expires
     for (const auto& [jid, times] : FetchAll(other)) seen[jid] += times;
     return seen.size() >= 38;
   };
   assert(Until(fetch, 20) && seen.size() == 38 &&
-         "all but the one that is done and the one that may be running");
+         "all but the completed job and the one that may be running");
   for (const auto& [jid, times] : seen) assert(times == 1);
 }
 
-// As before, over HTTP: who comes again by its key to a scheduler that has lost its disk gets what another
-// has made of the job, and the worker is not asked a second time.
+// The same over HTTP: a client that retries with its key at the scheduler that lost its disk gets the result
+// from the scheduler that took over, and the worker gets no second hop.
 void SameKey() {
   Peer worker;
   Trio trio(300, Target("w0", worker.at));
@@ -276,7 +284,7 @@
   }
   trio[0].Start();
   const int now = trio.Successor(group);
-  assert(Has(Conn::To(trio[0].at).Ask(ask("aa02")), " 503 ") && "it is under way");
+  assert(Has(Conn::To(trio[0].at).Ask(ask("aa02")), " 503 ") && "the job is still running");
   const std::string done = "{\"id\":\"aa01\",\"from\":\"w0\",\"state\":\"done\",\"result\":\"made\"}";
   assert(Has(Conn::To(trio[now].at)
                  .Ask("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
@@ -284,12 +292,12 @@
              " 200 "));
   const std::string answer = Conn::To(trio[0].at).Ask(ask("aa03"));
   assert(Has(answer, " 200 ") && Has(answer, "\r\n\r\nmade"));
-  assert(!worker.Called(0.5) && "nobody asked it again");
+  assert(!worker.Called(0.5) && "the worker got a second hop");
 }
 
-// With every part on, servers that hang with their connections must not keep requests from the others for
-// want of descriptors: a quarter of all can be had for connections to servers while other parts do not use
-// theirs.
+// With all features enabled, workers that accept connections and do not respond must not use up the
+// descriptors for hops: a quarter of all descriptors is available for hops while other parts do not use their
+// share.
 void Egress() {
   constexpr int kServers = 70, kQuarter = 64;
   Peer servers[kServers];
@@ -308,10 +316,11 @@
       if (server.Called(0)) attempts.push_back(server.Accept());
     }
   }
-  assert(attempts.size() >= kQuarter && "as many as there are descriptors");
+  assert(attempts.size() >= kQuarter && "hops can use a quarter of the descriptors");
 }
 
-// Killed and started on its own disk while another looks after its jobs: it has those back that are not done.
+// A scheduler restarts on its own disk after another has taken over: it gets back the jobs that are not
+// completed.
 void GivenBack() {
   Trio trio(300);
   const std::string group = trio.Group(0);
@@ -333,7 +342,7 @@
     }
     trio[0].Start();
     assert(trio.Group(0) == group && trio.Holds(0, group) && !trio.Holds(now, group));
-    assert(Fetch(other).empty() && "nothing of it is left there");
+    assert(Fetch(other).empty() && "the former leader still delivered a job");
   }
   Conn worker = Hello(trio[0], "w0");
   for (const auto& [jid, times] : FetchAll(worker)) seen[jid] += times;
@@ -341,8 +350,8 @@
   for (const auto& [jid, times] : seen) assert(times == 1);
 }
 
-// Stopped for longer than an election, with jobs that wait, a worker that asks and a client that was promised
-// nothing yet: when it wakes, what another has done meanwhile leaves it no more.
+// A scheduler is suspended for longer than an election takes, with waiting jobs, a pending FETCH and an
+// unanswered PUSH. After it resumes it must not deliver a job that another scheduler has run meanwhile.
 void Asleep() {
   Trio trio(300);
   const std::string group = trio.Group(0);
@@ -353,18 +362,19 @@
   worker.Send("FETCH default\r\n");
   const int now = trio.Successor(group);
   Conn other = Hello(trio[now], "w1");
-  // Those that were leased to w0 at the time, which asked for none, wait for their leases' end.
+  // Jobs that were leased to w0 when the scheduler was suspended are delivered only when those leases expire.
   const std::map<std::string, int> seen = FetchAll(other);
   assert(seen.size() >= 15);
   trio[0].Signal(SIGCONT);
   const std::string got = worker.Line();
-  assert((got == "$-1\r\n" || Has(got, "$")) && "it is asked for, and may be given what is its own");
+  assert((got == "$-1\r\n" || Has(got, "$")) &&
+         "the FETCH gets no job, or one that this scheduler still holds");
   if (got != "$-1\r\n") assert(!seen.contains(worker.Line().substr(8, 9)));
-  assert(Until([&] { return trio.Holds(0, group); }) && "it has its own back");
+  assert(Until([&] { return trio.Holds(0, group); }) && "the scheduler leads its group again");
   const std::string answer = late.Line();
-  assert((answer == "+OK\r\n" || Has(answer, "-ERR")) && "and says what became of what it was asked");
+  assert((answer == "+OK\r\n" || Has(answer, "-ERR")) && "the pending PUSH gets a reply");
   Conn again = Hello(trio[0]), more = Hello(trio[0], "w2");
-  for (int n = 0; n < 20; ++n) assert(again.Say(Push(Jid(n))) == "+OK\r\n" && "known");
+  for (int n = 0; n < 20; ++n) assert(again.Say(Push(Jid(n))) == "+OK\r\n" && "the job is known");
   assert(again.Say(Push(Jid(31))) == "+OK\r\n");
   const std::map<std::string, int> rest = FetchAll(more);
   assert(rest.contains(Jid(31)));
--- a/tests/net/durable_e2e_test.cpp
+++ b/tests/net/durable_e2e_test.cpp
@@ -1,5 +1,5 @@
-// Stories of durable jobs: the program is killed between one step and the next, and what was acknowledged is
-// there again, run as its class allows and no more.
+// End-to-end tests of durable jobs: the program is killed between steps. Acknowledged jobs must survive and
+// run only as often as their class allows.
 #include <sqlite3.h>
 
 #include <ctime>
@@ -12,7 +12,7 @@
 
 const std::string kFaktory = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"\"}";
 
-// A folder for the stores, gone at the end.
+// A temporary folder for the job stores, removed by the destructor.
 struct Folder {
   Folder() {
     char name[] = "/tmp/heronway-durable-XXXXXX";
@@ -49,40 +49,43 @@
   return Job(c);
 }
 
-// The whole path, with a crash after every step: each job runs once.
+// A crash after every step from PUSH to ACK: each job runs once.
 void Crashes() {
   Folder folder;
   Program p(Site().Json(), kFaktory, folder.Options());
   {
     Conn client = Hello(p);
-    assert(client.Say(Push("job-0001", "once")) == "+OK\r\n" && "it is stored, though nobody runs it yet");
+    assert(client.Say(Push("job-0001", "once")) == "+OK\r\n" &&
+           "PUSH is acknowledged once the job is stored");
     assert(Has(Info(client), "\"default\":1"));
   }
   p.Kill();
   p.Start();
   {
     Conn client = Hello(p), worker = Hello(p, "w0");
-    assert(client.Say(Push("job-0001", "once")) == "+OK\r\n" && "it is known, and not taken twice");
+    assert(client.Say(Push("job-0001", "once")) == "+OK\r\n" &&
+           "a repeated PUSH of a known job is acknowledged and not stored twice");
     assert(Has(Fetch(worker), "job-0001"));
   }
-  p.Kill();  // leased: the worker has it
+  p.Kill();  // while the job is leased to the worker
   p.Start();
   {
     Conn other = Hello(p, "w1");
     other.Send("FETCH default\r\n");
     Conn worker = Hello(p, "w0");
-    assert(Ack(worker, "job-0001") == "+OK\r\n" && "whoever held it before the crash may still end it");
+    assert(Ack(worker, "job-0001") == "+OK\r\n" &&
+           "the worker that held the lease before the crash may still ACK");
     assert(Has(Info(worker), "\"total_processed\":1"));
-    assert(Job(other).empty() && "an unsafe job that may be running goes to nobody");
+    assert(Job(other).empty() && "an at-most-once job that may be running is not given to another worker");
   }
   p.Kill();
   p.Start();
   {
     Conn client = Hello(p), worker = Hello(p, "w1");
     assert(client.Say(Push("job-0001", "once")) == "+OK\r\n");
-    assert(Fetch(worker).empty() && "it is done, and stays so");
+    assert(Fetch(worker).empty() && "a completed job is not run again");
   }
-  // Between the commit and its +OK: the client knows nothing, and asks again.
+  // A crash between the commit and its +OK: the client has no reply and pushes again.
   Conn lost = Hello(p);
   lost.Send(Push("job-0002", "once") + "\r\n");
   Pause(0.1);
@@ -95,7 +98,7 @@
   assert(p.Wait() == 0);
 }
 
-// A planned stop does not wait for ever for what a worker has, and loses none of it.
+// A planned stop does not wait without limit for leased jobs, and loses none of them.
 void Stops() {
   Folder folder;
   Program p(Site().Json(), kFaktory, folder.Options());
@@ -115,7 +118,7 @@
   assert(Has(Info(back), "\"total_processed\":1"));
 }
 
-// Scheduler and worker die together: nobody will ever say what became of the job.
+// Scheduler and worker die together, so the outcome of the job is never reported.
 void BothDie() {
   for (const char* type : {"preview", "save", "once"}) {
     Folder folder;
@@ -128,7 +131,7 @@
     p.Start();
     Conn other = Hello(p, "w1");
     const bool again = Has(Fetch(other), "job-0001");
-    assert(again == (std::string(type) != "once") && "only what may be repeated is");
+    assert(again == (std::string(type) != "once") && "only a job whose class allows it is retried");
     if (again) assert(Ack(other, "job-0001") == "+OK\r\n");
     assert(Has(Info(other), again ? "\"total_processed\":1" : "\"Dead\":{\"size\":1}"));
   }
@@ -152,8 +155,9 @@
   return hop;
 }
 
-// A client that lost its connection joins its job by the same key, and gets the kept answer after the end. So
-// it does over crashes: between the start report and the next progress, and after the answer.
+// A client that lost its connection joins its job with the same key, and gets the stored response after the
+// job has completed. This also holds across a crash between the start report and the next progress report,
+// and after the response.
 void HttpJoins() {
   Folder folder;
   Peer worker;
@@ -168,13 +172,13 @@
     first.Close();
     Conn again = Conn::To(p.at);
     again.Send(Ask("aa02", "k1"));
-    assert(again.Quiet(0.1) && !worker.Called(0.1) && "it joined, and no second hop went out");
+    assert(again.Quiet(0.1) && !worker.Called(0.1) && "the request joined the job and caused no second hop");
     assert(Has(News(p, "aa01", "\"done\",\"result\":\"one\",\"load\":{\"queue\":0,\"x0\":9}"), " 200 "));
     assert(Has(again.Http(), "\r\n\r\none"));
-    assert(Has(Conn::To(p.at).Ask(Ask("aa03", "k1")), "\r\n\r\none") && "kept");
+    assert(Has(Conn::To(p.at).Ask(Ask("aa03", "k1")), "\r\n\r\none") && "the stored response");
     Conn soon = Conn::To(p.at);
     soon.Send(Ask("bb01", "k2"));
-    if (!hop.Quiet(0.2)) {  // on the connection that it kept
+    if (!hop.Quiet(0.2)) {  // the hop reuses the kept connection
       assert(Has(hop.Http(), "Req-Id: bb01\r\n"));
       hop.Send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
     } else {
@@ -184,10 +188,11 @@
     p.Kill();
   }
   p.Start();
-  assert(Has(Conn::To(p.at).Ask(Ask("aa04", "k1")), "\r\n\r\none") && "kept over the crash");
+  assert(Has(Conn::To(p.at).Ask(Ask("aa04", "k1")), "\r\n\r\none") &&
+         "the stored response survives the crash");
   Conn client = Conn::To(p.at);
   client.Send(Ask("bb02", "k2"));
-  assert(!worker.Called(0.3) && "it may be running");
+  assert(!worker.Called(0.3) && "a job that may be running was sent again");
   assert(Has(News(p, "bb01", "\"running\",\"share\":0.5"), " 200 "));
   assert(Has(News(p, "bb01", "\"done\",\"result\":\"two\""), " 200 "));
   assert(Has(client.Http(), "\r\n\r\ntwo"));
@@ -196,13 +201,13 @@
   Conn hop = Hop(worker, head);
   Conn joined = Conn::To(p.at);
   joined.Send(Ask("cc02", "k3", 200));
-  assert(Has(joined.Http(), "come again by the same key") && "its own time was over first");
+  assert(Has(joined.Http(), "come again by the same key") && "the joined request has its own deadline");
   assert(Has(News(p, "cc01", "\"done\",\"result\":\"three\""), " 200 ") && Has(other.Http(), "three"));
   p.Signal(SIGTERM);
   assert(p.Wait() == 0 && Has(p.log, "durable http"));
 }
 
-// What nobody had got yet when the program was killed goes out in its next life.
+// A job that was not sent to any worker before the crash is sent after the restart.
 void HttpResumes() {
   Folder folder;
   Peer worker;
@@ -222,11 +227,11 @@
   assert(Has(Conn::To(p.at).Ask(Ask("aa02", "k1")), "\r\n\r\nr"));
 }
 
-// A client that waits for longer than a planned stop lasts (8 s here, with the kill after 3.7) has its answer
-// before the kill, though its job goes on without it: before, a durable job's client was left unanswered, as
-// "its client comes again by its key". It does, and gets what came of the job.
+// A client with a longer deadline than a planned stop lasts (8 s, with the kill after 3.7 s) gets a response
+// before the kill, while its job continues. Guards against the fault that clients of durable jobs got no
+// response at a stop. A client that retries with its key gets the outcome of the job.
 void StopAnswers() {
-  constexpr double kEarliestKill = 3.7;  // of the longest deadline that counts, 3 s, and 0.7 s
+  constexpr double kEarliestKill = 3.7;  // the longest deadline that is taken into account, 3 s, plus 0.7 s
   Folder folder;
   Peer worker;
   Site site;
@@ -237,11 +242,12 @@
   Conn client = Conn::To(p.at), idle = Conn::To(p.at);
   client.Send(Ask("aa01", "k1", 8'000));
   Conn hop = Hop(worker, head);
-  idle.Send(Ask("aa02", "k2", 8'000));  // the other job has no worker, or the same one
+  idle.Send(Ask("aa02", "k2", 8'000));  // this job has no worker or the same worker
   const double stopped = Now();
   p.Signal(SIGTERM);
-  assert(Readable(client.fd(), kEarliestKill) && Has(client.Http(), " 502 ") && "its outcome is not known");
-  assert(Readable(idle.fd(), kEarliestKill - (Now() - stopped)) && "whatever became of it");
+  assert(Readable(client.fd(), kEarliestKill) && Has(client.Http(), " 502 ") &&
+         "answered as failed, since the outcome is not known");
+  assert(Readable(idle.fd(), kEarliestKill - (Now() - stopped)) && "the second client gets a response too");
   idle.Http();
   p.Kill();
   p.Start();
@@ -249,7 +255,7 @@
   assert(Has(Conn::To(p.at).Ask(Ask("aa03", "k1")), "\r\n\r\nlate"));
 }
 
-// Somebody else holds the store's lock, so that writes to it fail for as long.
+// Holds the lock of a store file, so that the program's writes to it fail meanwhile.
 class LockedStore {
  public:
   explicit LockedStore(const std::string& file) {
@@ -264,9 +270,9 @@
   sqlite3* db_ = nullptr;
 };
 
-// An attempt waits at the gate until its lease is stored. What its server is told of the time left counted
-// from when it left the gate, so a store that failed for 0.7 s gave it 0.7 s more than its client had. Seen
-// in the fault rig: told 1,733 ms, 1,691 ms after a client asked that waits for 3,000.
+// A hop waits until its lease is stored. Guards against the fault that the remaining time sent to the worker
+// ignored this wait, so a store that failed for 0.7 s gave the worker 0.7 s more than the client had. Seen in
+// the fault rig: a worker got 1,733 ms, 1,691 ms after the request of a client with a deadline of 3,000 ms.
 void SlowStore() {
   constexpr double kFails = 0.7, kSlack = 0.15;
   constexpr int kDeadlineMs = 1'500;
@@ -280,7 +286,7 @@
     const LockedStore locked(folder.path + "/http.db");
     sent = Now();
     client.Send(Ask("aa01", "k1", kDeadlineMs));
-    assert(!worker.Called(kFails) && "nothing leaves before its records are stored");
+    assert(!worker.Called(kFails) && "a hop was sent before its records were stored");
   }
   Conn hop = Hop(worker, head);
   const double left = kDeadlineMs / 1e3 - (Now() - sent);
@@ -298,7 +304,7 @@
   return text;
 }
 
-// Jobs for later, failures kept as dead, and the operators' tool at a store that is being served from.
+// Scheduled jobs, failed jobs kept as dead, and the `jobs` tool on a store that is in use.
 void Operators() {
   Folder folder;
   Program p(Site().Json(), kFaktory, folder.Options());
@@ -319,7 +325,7 @@
   assert(Has(Run("jobs show " + store + " job-dead --json"), "jobtype"));
   assert(Has(Run("jobs snapshot " + store + " " + copy), "nothing is wrong"));
   assert(Has(Run("jobs retry " + store + " job-dead"), "1 done, 0 not"));
-  std::string got;  // the worker sits out for its failure
+  std::string got;  // the worker is excluded for a while after its FAIL
   for (const double until = Now() + 12; got.empty() && Now() < until;) got = Fetch(worker);
   assert(Has(got, "job-dead") && Ack(worker, "job-dead") == "+OK\r\n");
   int status = 0;
@@ -327,19 +333,19 @@
   assert(client.Say(Push("job-away", "preview", ",\"at\":\"2099-01-01T00:00:00Z\"")) == "+OK\r\n");
   assert(Has(Run("jobs discard " + store + " job-away"), "1 done"));
   assert(Has(Run("jobs verify " + store), "nothing is wrong"));
-  // A start from the copy: it stands as it did then.
+  // A program started on the snapshot has the jobs as they were at that time.
   Folder second;
   std::filesystem::copy_file(copy, second.path + "/faktory.db");
   Program q(Site().Json(), kFaktory, second.Options());
   Conn other = Hello(q, "w1");
   got.clear();
   for (const double until = Now() + 12; got.empty() && Now() < until;) got = Fetch(other);
-  // time() tells a clock that lags by some milliseconds.
+  // time() may be some milliseconds behind system_clock.
   const auto now = std::chrono::system_clock::now() + std::chrono::milliseconds(20);
   assert(Has(got, "job-later") && std::chrono::system_clock::to_time_t(now) >= at);
 }
 
-// A store at its bound refuses what is new, and runs what it has; faults at a start name the file.
+// A full store rejects new jobs and still runs those it has. Errors at start name the file.
 void Faults() {
   Folder folder;
   const std::string store = folder.path + "/faktory.db", config = folder.path + "/c.json",
--- a/tests/net/e2e_harness.h
+++ b/tests/net/e2e_harness.h
@@ -1,5 +1,6 @@
-// What the loopback stories share: the program as a child process, scripted peers on blocking sockets, and
-// the audit of the rules. Everything has a limit of time; a check that fails ends the story.
+// Harness of the end-to-end tests on loopback: runs the program as a child process, scripts its clients,
+// workers and discovery on blocking sockets, and checks the hop rules. Every wait has a time limit; a failed
+// assert ends the test.
 #ifndef HERONWAY_TESTS_NET_E2E_HARNESS_H_
 #define HERONWAY_TESTS_NET_E2E_HARNESS_H_
 
@@ -33,15 +34,17 @@
 }
 inline void Pause(double seconds) { usleep(static_cast<useconds_t>(seconds * 1e6)); }
 inline bool Has(const std::string& text, const std::string& part) { return text.find(part) != text.npos; }
+// Waits until the descriptor is readable (data, a connection or end of stream); false after `seconds`.
 inline bool Readable(int fd, double seconds) {
   pollfd p{fd, POLLIN, 0};
   return poll(&p, 1, static_cast<int>(seconds * 1000)) > 0;
 }
 
+// A blocking TCP connection between the test and the program.
 class Conn {
  public:
   explicit Conn(int fd) : fd_(fd) {}
-  // `narrow`: the connection holds little that its peer has not read, so that a large answer leaves in parts.
+  // `narrow`: smallest receive buffer and segment, so that the program must write a large response in parts.
   static Conn To(const std::string& at, bool narrow = false) {
     sockaddr_in a{};
     a.sin_family = AF_INET;
@@ -49,7 +52,7 @@
     assert(inet_pton(AF_INET, at.substr(0, colon).c_str(), &a.sin_addr) == 1);
     a.sin_port = htons(static_cast<std::uint16_t>(std::stoi(at.substr(colon + 1))));
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const int segment = 88, held = 1;  // the least that the system gives
+    const int segment = 88, held = 1;  // the smallest that the kernel allows
     if (narrow) {
       assert(setsockopt(fd, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment) == 0 &&
              setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &held, sizeof held) == 0);
@@ -72,22 +75,26 @@
   void Send(const std::string& text) {
     assert(send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
+  // True if nothing arrives on the connection for `seconds`.
   bool Quiet(double seconds) { return in_.empty() && !Readable(fd_, seconds); }
-  bool Ended(double seconds = 5) {  // the peer has closed, and sent nothing more
+  // True if the program closes or resets the connection within `seconds` and no unread data is left.
+  bool Ended(double seconds = 5) {
     char c;
     return Readable(fd_, seconds) && recv(fd_, &c, 1, MSG_PEEK) <= 0;
   }
-  bool Finished() {  // the peer has ended it in order: no reset
+  // True if the program has closed the connection without a reset.
+  bool Finished() {
     char c;
     return recv(fd_, &c, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
   }
+  // Reads one line, with its CRLF.
   std::string Line() {
     return Take([this] {
       const auto n = in_.find("\r\n");
       return n == in_.npos ? n : n + 2;
     });
   }
-  // A whole HTTP message: head and body as text.
+  // Reads one HTTP message and returns head and body as text.
   std::string Http() {
     std::string head = Take([this] {
       const auto n = in_.find("\r\n\r\n");
@@ -97,24 +104,27 @@
     const std::size_t size = at == head.npos ? 0 : std::stoul(head.substr(at + 16));
     return head + Take([this, size] { return in_.size() < size ? std::string::npos : size; });
   }
+  // Sends an HTTP request and returns the response.
   std::string Ask(const std::string& message) {
     Send(message);
     return Http();
   }
-  std::string Say(const std::string& line) {  // Faktory
+  // Sends a Faktory command line and returns the first line of the reply.
+  std::string Say(const std::string& line) {
     Send(line + "\r\n");
     return Line();
   }
 
  private:
+  // Reads until `whole` returns a length other than npos, then removes and returns that many bytes.
   std::string Take(const std::function<std::size_t()>& whole) {
     const double until = Now() + 5;
     std::size_t n;
     while ((n = whole()) == std::string::npos) {
       char buffer[65536];
-      assert(Readable(fd_, until - Now()) && "the peer said nothing");
+      assert(Readable(fd_, until - Now()) && "the program sent nothing in time");
       const ssize_t got = recv(fd_, buffer, sizeof buffer, 0);
-      assert(got > 0 && "the peer closed");
+      assert(got > 0 && "the program closed the connection");
       in_.append(buffer, static_cast<std::size_t>(got));
     }
     std::string out = in_.substr(0, n);
@@ -125,17 +135,20 @@
   std::string in_;
 };
 
-class Peer {  // listens: a worker, or discovery
+// A listening socket that plays a worker or discovery.
+class Peer {
  public:
   explicit Peer(int backlog = 64) { Listen(0, backlog); }
   ~Peer() { Close(); }
   void Close() {
     if (fd_ >= 0) close(std::exchange(fd_, -1));
   }
-  // Listens again where it did before Close().
+  // Listens again on the port that it had before Close().
   void Reopen() { Listen(static_cast<std::uint16_t>(std::stoi(at.substr(at.find(':') + 1))), 64); }
+  // True if a connection is waiting to be accepted within `seconds`.
   bool Called(double seconds) { return Readable(fd_, seconds); }
-  // Dials this peer, which never accepts, until a dial does not come up any more; gives those that did.
+  // Connects to this listener, which does not accept, until its backlog is full and a connect does not
+  // complete. Returns all sockets, with the pending one.
   std::vector<Conn> Fill() {
     std::vector<Conn> up;
     for (;;) {
@@ -146,12 +159,12 @@
       connect(fd, reinterpret_cast<sockaddr*>(&a), size);
       pollfd p{fd, POLLOUT, 0};
       const bool came = poll(&p, 1, 200) > 0;
-      up.emplace_back(fd);  // one that still dials is kept as well: it takes the next free place
+      up.emplace_back(fd);  // the pending one is kept too: it takes the next free place in the backlog
       if (!came) return up;
     }
   }
   Conn Accept() {
-    assert(Called(5) && "nobody called");
+    assert(Called(5) && "no connection arrived");
     return Conn(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
   std::string at;
@@ -173,7 +186,8 @@
   int fd_ = -1;
 };
 
-// The program, with its configuration in a folder of its own; killed at the end if it still runs.
+// The program as a child process, with its configuration in a temporary folder. The destructor kills it if it
+// still runs.
 class Program {
  public:
   explicit Program(const std::string& config, const std::string& faktory = "{\"enabled\":false}",
@@ -186,12 +200,12 @@
     std::ofstream(folder_ + "/options.json") << options;
     faktory_ = Has(faktory, "\"listen\"");
     console_ = Has(config, "\"console\"");
-    // Such a site has no discovery: its program is ready once dials to it were refused.
+    // With no discovery at that address the program becomes ready after its connection attempts were refused.
     waits_until_ready_ =
         Has(config, "\"discovery\":\"127.0.0.1:1\"") && Has(config, "\"lifecycle\":\"ready\"");
     Start();
   }
-  // Ends it without a word, as a crash would; Start begins another life on the same files.
+  // Kills the process with SIGKILL, as a crash would. Start() runs it again on the same files.
   void Kill() {
     assert(pid_ > 0);
     kill(pid_, SIGKILL);
@@ -204,7 +218,7 @@
     assert(pipe2(log, O_CLOEXEC) == 0);
     pid_ = fork();
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a story that fails leaves nothing behind
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves no process behind
       dup2(log[1], 2);
       close(log[0]);
       const std::string c = folder_ + "/config.json", f = folder_ + "/faktory.json",
@@ -231,14 +245,15 @@
     rmdir(folder_.c_str());
   }
   void Signal(int number) { kill(pid_, number); }
-  // It stands still from here on: what peers do until Thaw is all there before it looks again.
+  // Suspends the process. Everything that the test sends before Thaw() has arrived when the process runs
+  // again.
   void Freeze() {
     int status = 0;
     kill(pid_, SIGSTOP);
     assert(waitpid(pid_, &status, WUNTRACED) == pid_ && WIFSTOPPED(status));
   }
   void Thaw() { kill(pid_, SIGCONT); }
-  // Whether it still runs so long from now.
+  // True if the process still runs after `seconds`.
   bool Lives(double seconds) {
     siginfo_t ended{};
     for (const double until = Now() + seconds; ended.si_pid == 0 && Now() < until; Pause(0.01))
@@ -250,7 +265,7 @@
     return std::distance(begin(open), end(open));
   }
   void Configure(const std::string& config) { std::ofstream(folder_ + "/config.json") << config; }
-  // The exit status; everything that it logged is in `log` then.
+  // Waits for the process to exit and returns its exit status. `log` then holds everything it logged.
   int Wait() {
     ReadLog(10);
     int status = 0;
@@ -260,7 +275,7 @@
   std::string at, faktory_at, console_at, log;
 
  private:
-  // To its end, for so long.
+  // Appends to `log` until the pipe ends, for at most `seconds`.
   void ReadLog(double seconds) {
     char buffer[4096];
     const double until = Now() + seconds;
@@ -270,7 +285,7 @@
       log.append(buffer, static_cast<std::size_t>(n));
     }
   }
-  // As clients do, which the platform leads to a process that has said yes.
+  // Polls /ready as the platform does before it sends clients to a process.
   void WaitUntilReady() {
     constexpr double kMostSeconds = 5;
     const std::string ask = "GET /ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
@@ -279,7 +294,8 @@
     }
     assert(false && "the program is not ready");
   }
-  // Of the line that says where a front listens, in either form of the log.
+  // Reads the log up to the line with the front's listening address, in text or JSON form, and returns the
+  // address.
   std::string ReadAddress(const std::string& front) {
     std::string line;
     const double until = Now() + 10;
@@ -303,17 +319,20 @@
   int log_ = -1;
 };
 
-// The rules, as both fronts must keep them. A story tells what its peers saw; each call checks.
+// Checks the hop rules that both fronts must keep. The test reports what its clients and workers observed;
+// each call asserts.
 class Audit {
  public:
   enum class Repeat { kFree, kSameZone, kNever };
   void Sent(const std::string& id, const std::string& target, Repeat repeat = Repeat::kFree, int zone = 0) {
     Request& r = requests_[id];
-    assert(!r.answered && "sent after the final answer");
-    assert(!r.out && "two hops of one request are out");
-    if (r.may_have_run) assert(repeat != Repeat::kNever && "repeated what may have run");
-    if (r.may_have_run && repeat == Repeat::kSameZone) assert(zone == r.zone && "repeated in another zone");
-    if (drained_.contains(target)) assert(Now() < drained_[target] + 2 && "fresh work for a draining target");
+    assert(!r.answered && "a hop was sent after the final response");
+    assert(!r.out && "two hops of one request are in flight");
+    if (r.may_have_run) assert(repeat != Repeat::kNever && "retried a job that may have run");
+    if (r.may_have_run && repeat == Repeat::kSameZone)
+      assert(zone == r.zone && "retried in another zone a job that may have run");
+    if (drained_.contains(target))
+      assert(Now() < drained_[target] + 2 && "new work sent to a draining target");
     r.out = true;
     r.zone = zone;
     ++r.hops;
@@ -325,8 +344,8 @@
   void Drains(const std::string& target) { drained_.emplace(target, Now()); }
   void Answered(const std::string& id, bool refused = false, Repeat repeat = Repeat::kFree) {
     Request& r = requests_[id];
-    assert(!std::exchange(r.answered, true) && "two final answers");
-    if (refused && r.may_have_run) assert(repeat == Repeat::kFree && "refused what may have run");
+    assert(!std::exchange(r.answered, true) && "two final responses");
+    if (refused && r.may_have_run) assert(repeat == Repeat::kFree && "shed a job that may have run");
   }
   int Hops(const std::string& id) { return requests_[id].hops; }
 
@@ -339,10 +358,11 @@
   std::map<std::string, double> drained_;
 };
 
-// A configuration: three classes as on the platform, and an unsafe one. `targets` are lines of the list.
+// The program's configuration, with three job classes: idempotent, deduplicated and at most once. `targets`:
+// entries of the route table, from Target(), separated by commas.
 struct Site {
   std::string discovery = "127.0.0.1:1", targets, extra_limits;
-  std::string listen = "127.0.0.1:0", console;  // `console`: empty, none
+  std::string listen = "127.0.0.1:0", console;  // an empty `console` means no console
   int sockets = 256, warm_up = 1, most_hops = 3, memory_mb = 192;
   int aim = 3'000'000, deadline = 4'000'000;  // microseconds
   std::string Json() const {
@@ -374,6 +394,7 @@
            ",\"overloadFactor\":3.0,\"fall\":3000000}}}";
   }
 };
+// A route table entry as JSON.
 inline std::string Target(const std::string& name, const std::string& at, const char* zone = "a",
                           const char* state = "ready") {
   return "{\"instanceId\":\"" + name + "\",\"hostPort\":\"" + at + "\",\"zone\":\"" + zone +
@@ -381,18 +402,18 @@
          "\",\"weight\":1.0,\"startedAtMs\":0}";
 }
 
-// The site of most stories, as JSON: one target, w0, at `at`.
+// The configuration of most tests, as JSON: one target, w0, at address `at`.
 inline std::string OneTarget(const std::string& at) {
   Site site;
   site.targets = Target("w0", at);
   return site.Json();
 }
 
-// Runs the story that the command line names.
-inline int Run(int argc, char** argv, const std::map<std::string, void (*)()>& stories) {
+// Runs the test that the command line names; returns 2 if there is no such test.
+inline int Run(int argc, char** argv, const std::map<std::string, void (*)()>& tests) {
   signal(SIGPIPE, SIG_IGN);
-  const auto it = argc == 2 ? stories.find(argv[1]) : stories.end();
-  if (it == stories.end()) return 2;
+  const auto it = argc == 2 ? tests.find(argv[1]) : tests.end();
+  if (it == tests.end()) return 2;
   it->second();
   return 0;
 }
--- a/tests/net/faktory_e2e_test.cpp
+++ b/tests/net/faktory_e2e_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the Faktory front, with stand-ins of our own for its clients and workers, under the same audit.
+// End-to-end tests of the Faktory front with scripted clients and workers.
 #include <openssl/sha.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 const std::string kFaktory = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"\"}";
 
-// A connection that has said HELLO; with a wid, a worker's.
+// Connects and sends HELLO. With a wid, the connection is a worker's.
 Conn Hello(Program& p, const std::string& wid = "", const std::string& more = "") {
   Conn c = Conn::To(p.faktory_at);
   assert(Has(c.Line(), "+HI {\"v\":2}"));
@@ -22,13 +22,13 @@
 std::string Push(const std::string& jid, const std::string& type = "preview", const std::string& more = "") {
   return "PUSH {\"jid\":\"" + jid + "\",\"jobtype\":\"" + type + "\",\"args\":[1]" + more + "}\r\n";
 }
-// The job that a FETCH which was sent brings; empty where it brings none.
+// Reads the reply to a FETCH that was already sent; empty if it carries no job.
 std::string Job(Conn& worker) {
   const std::string size = worker.Line();
   return size == "$-1\r\n" ? "" : worker.Line();
 }
-// What was sent on any connection before this is read by the time of the answer, or right behind it and
-// before anything that is sent then.
+// Makes sure that the program reads everything sent so far on any connection before anything that the test
+// sends afterwards.
 void ReadSoFar(Conn& c) {
   c.Send("INFO\r\n");
   assert(Has(c.Line(), "$"));
@@ -39,8 +39,8 @@
   return worker.Say("FAIL {\"jid\":\"" + jid + "\",\"errtype\":\"E\",\"message\":\"m\"}");
 }
 
-// The whole path; the job reaches the worker as it was pushed. A worker that dies after its ACK changes
-// nothing.
+// PUSH, FETCH and ACK: the job reaches the worker as it was pushed. A worker that disconnects after its ACK
+// does not change the outcome.
 void Served() {
   Program p(Site().Json(), kFaktory);
   Audit audit;
@@ -49,7 +49,7 @@
   client.Send(Push("job-0001", "once", ",\"custom\":{\"deadline_ms\":3000,\"key\":\"7f\",\"mine\":true}"));
   assert(Has(Job(worker), "\"custom\":{\"deadline_ms\":3000,\"key\":\"7f\",\"mine\":true}"));
   audit.Sent("job-0001", "w0", Audit::Repeat::kNever);
-  assert(client.Quiet(0.1) && "the outcome is not known yet");
+  assert(client.Quiet(0.1) && "PUSH is answered only when the outcome is known");
   worker.Send("ACK {\"jid\":\"job-0001\"}\r\n");
   worker.Close();
   assert(client.Line() == "+OK\r\n");
@@ -62,7 +62,7 @@
   assert(client.Ended());
 }
 
-// A worker that dies before its ACK: the job may have run, so what becomes of it is the class's to say.
+// A worker that dies before its ACK may have run the job, so the job's class decides whether it is retried.
 void WorkerDies() {
   struct Case {
     const char *type, *second_zone;
@@ -98,20 +98,22 @@
   }
 }
 
-// FAIL may have run: safe to repeat goes on elsewhere, unsafe does not; `retry` 0 forbids it in any case.
+// A job that got FAIL may have run: it is retried at another worker if its class is idempotent, and not if it
+// is at most once. `retry` 0 forbids a retry for every class.
 void Fails() {
   Program p(Site().Json(), kFaktory);
   Conn a = Hello(p, "w0"), b = Hello(p, "w1"), client = Hello(p);
   a.Send("FETCH default\r\n");
-  ReadSoFar(
-      client);  // or the job may go to w1, which asks for nothing yet, and come here without another to go to
+  // Without this the job may be assigned to w1, which has not sent FETCH, and reach w0 with no other worker
+  // left.
+  ReadSoFar(client);
   client.Send(Push("job-0001"));
   Job(a);
   b.Send("FETCH default\r\n");
   ReadSoFar(a);
   assert(Fail(a, "job-0001") == "+OK\r\n");
   assert(!Job(b).empty() && Ack(a, "job-0001") == "+OK\r\n" && client.Quiet(0.1) &&
-         "a late ACK is not an outcome");
+         "a late ACK from the failed hop is ignored");
   assert(Ack(b, "job-0001") == "+OK\r\n" && client.Line() == "+OK\r\n");
   b.Send("FETCH default\r\n");
   ReadSoFar(client);
@@ -121,7 +123,7 @@
   assert(Has(client.Line(), "-ERR FAILED"));
   a.Send("FETCH default\r\n");
   b.Send("FETCH default\r\n");
-  Pause(3.1);  // both sat out for their failures
+  Pause(3.1);  // both workers are excluded for a while after a FAIL
   assert(Job(a).empty() && Job(b).empty());
   a.Send("FETCH default\r\n");
   ReadSoFar(client);
@@ -131,8 +133,8 @@
   assert(Has(client.Line(), "-ERR"));
 }
 
-// A client that loses its connection and pushes the same jid again joins the job: one run, one answer. So it
-// does when the job was done meanwhile, or when the old connection still stands.
+// A client that reconnects and pushes the same jid again joins the running job: it runs once and is answered
+// once. The same holds if the job has completed meanwhile or if the old connection is still open.
 void Rejoin() {
   Program p(Site().Json(), kFaktory);
   Audit audit;
@@ -160,24 +162,26 @@
   assert(Job(worker).empty() && audit.Hops("job-0001") == 1);
 }
 
-// A client that has gone before any worker has its job: a FETCH gets nothing of it until the client is back.
+// A job whose client disconnects before any worker has it is not given to a FETCH until the client
+// reconnects.
 void Away() {
   Program p(Site().Json(), kFaktory);
   Conn worker = Hello(p, "w0"), client = Hello(p), other = Hello(p);
   client.Send(Push("job-0001", "once"));
   client.Close();
-  other.Send("INFO\r\n");  // behind the close: what the program reads next, it reads with the close there
+  other.Send(
+      "INFO\r\n");  // sent after the close, so the program sees the close before it reads anything later
   assert(Has(other.Line(), "$"));
   worker.Send("FETCH default\r\n");
-  assert(worker.Quiet(0.2) && "sent on for a client that has gone");
+  assert(worker.Quiet(0.2) && "a job of a disconnected client was given to a worker");
   Conn again = Hello(p);
   again.Send(Push("job-0001", "once"));
   assert(Has(Job(worker), "job-0001"));
   assert(Ack(worker, "job-0001") == "+OK\r\n" && again.Line() == "+OK\r\n");
 }
 
-// A worker's connection ends while its FETCH waits, and a PUSH comes, before either is read: the job is not
-// given to nobody, and so has not run, and another worker gets it.
+// A worker disconnects while its FETCH is pending, and a PUSH arrives before the program reads either: the
+// job must not be assigned to the closed connection, and another worker gets it.
 void TakerGone() {
   Program p(Site().Json(), kFaktory);
   Conn worker = Hello(p, "w0"), client = Hello(p), other = Hello(p);
@@ -185,16 +189,16 @@
   ReadSoFar(other);
   p.Freeze();
   worker.Close();
-  client.Send(Push("job-0001", "once"));  // newer, so it is read first
+  client.Send(Push("job-0001", "once"));  // the newer connection is read first
   p.Thaw();
   Conn fresh = Hello(p, "w1");
   fresh.Send("FETCH default\r\n");
-  assert(Has(Job(fresh), "job-0001") && "given to a connection that had ended");
+  assert(Has(Job(fresh), "job-0001") && "the job was assigned to a closed connection");
   assert(Ack(fresh, "job-0001") == "+OK\r\n" && client.Line() == "+OK\r\n");
 }
 
-// A worker that beats `quiet` gets nothing new, what waits for it goes elsewhere, and it may finish what it
-// has.
+// A worker that reports `quiet` in BEAT gets no new jobs, jobs waiting for it go to another worker, and it
+// may finish the jobs it has.
 void Quiet() {
   Program p(Site().Json(), kFaktory);
   Audit audit;
@@ -203,7 +207,7 @@
   client.Send(Push("job-0001", "once"));
   Job(old);
   audit.Sent("job-0001", "w0");
-  other.Send(Push("job-0002", "once"));  // waits for the only worker
+  other.Send(Push("job-0002", "once"));  // pending at the only worker
   assert(old.Say("BEAT {\"wid\":\"w0\",\"current_state\":\"quiet\"}") == "+OK\r\n");
   audit.Drains("w0");
   Conn fresh = Hello(p, "w1");
@@ -213,13 +217,12 @@
   audit.Sent("job-0002", "w1", Audit::Repeat::kNever);
   assert(Ack(fresh, "job-0002") == "+OK\r\n" && other.Line() == "+OK\r\n");
   audit.Answered("job-0002");
-  assert(Job(old).empty() && "nothing new 2 s on");
+  assert(Job(old).empty() && "a quiet worker gets no new job, even after 2 s");
   assert(Ack(old, "job-0001") == "+OK\r\n" && client.Line() == "+OK\r\n");
 }
 
-// Nobody fetches: the job is answered within its deadline, refused with the time to come back, as it never
-// ran. One that was delivered and times out may have run. A `reserve_for` that runs out lets a safe job go
-// on.
+// A job that no worker fetches never ran: it is shed within its deadline with a time to retry. One that was
+// delivered and times out may have run and fails. An idempotent job whose `reserve_for` expires is retried.
 void Deadline() {
   Program p(Site().Json(), kFaktory);
   Conn worker = Hello(p, "w0"), client = Hello(p);
@@ -244,7 +247,7 @@
   assert(!repeat.empty() && client.Line() == "+OK\r\n");
 }
 
-// A queue that no FETCH names is no free slot for its jobs.
+// A FETCH for other queues is not a free slot for a job, so the job is shed.
 void Queues() {
   Program p(Site().Json(), kFaktory);
   Conn worker = Hello(p, "w0"), client = Hello(p);
@@ -254,7 +257,7 @@
   assert(Has(client.Line(), "-ERR SHED"));
 }
 
-// Bad or unsupported input is named, and the program serves on.
+// Invalid or unsupported input gets an error that names the field, and the program keeps serving.
 void BadInput() {
   Program p(Site().Json(), "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"secret\"}");
   const auto hello = [&p](const std::string& password) {
@@ -299,8 +302,8 @@
   assert(hello("secret").second == "+OK\r\n");
 }
 
-// A worker that just started has free slots in plenty, and is not flooded: what it gets in its first second
-// stays under the rule's multiple of what a cold worker of two cores with jobs of 100 ms could do.
+// A worker in slow start with many free slots is not overloaded: the jobs it gets in its first second stay
+// under the overload factor times the rate of a cold worker with two cores and jobs of 100 ms.
 void Cold() {
   Site site;
   site.warm_up = 8'000'000;
@@ -315,11 +318,12 @@
   }
   Pause(1);
   const auto given = std::count_if(slots.begin(), slots.end(), [](Conn& c) { return !c.Quiet(0); });
-  assert(given <= 3 * 0.3 * 20 && "3 times 0.3 of 20 jobs a second");
+  assert(given <= 3 * 0.3 * 20 &&
+         "at most 3 (overload factor) times 0.3 (cold start share) of 20 jobs per second");
 }
 
-// With the limits on: a job that cannot be held is refused with a time; one that comes early is told what
-// is left of it, and one that comes in its time is served.
+// With the limits enabled: a job that cannot be held is shed with a time to retry. A retry before that time
+// gets the remaining time, and one at that time is served.
 void Storm() {
   Site site;
   site.extra_limits = ",\"mostHeld\":1";
@@ -338,7 +342,7 @@
     client.Send(Push(jid));
     assert(Has(Job(worker), jid));
   };
-  for (int i = 10; i < 30; ++i) {  // what the worker can do is learned while there is more than that
+  for (int i = 10; i < 30; ++i) {  // the worker's capacity is measured while the load exceeds it
     begin("first-" + std::to_string(i));
     wait("other-" + std::to_string(i));
     assert(Ack(worker, "first-" + std::to_string(i)) == "+OK\r\n" && client.Line() == "+OK\r\n");
@@ -352,7 +356,8 @@
   assert(told > 0.9);
   Pause(0.2);
   const double left = wait("late-0001");
-  assert(left < told && std::abs(left - (told - (Now() - began))) < 0.05 && "early: the same time is told");
+  assert(left < told && std::abs(left - (told - (Now() - began))) < 0.05 &&
+         "an early retry gets the same retry time");
   assert(Ack(worker, "first-99") == "+OK\r\n" && client.Line() == "+OK\r\n");
   Pause(left);
   worker.Send("FETCH default\r\n");
@@ -364,7 +369,7 @@
          Has(p.log, "early=1"));
 }
 
-// SIGTERM: a job that is out is still answered, and then the program ends with 0.
+// SIGTERM: a job in flight is still answered, and then the program exits with 0.
 void Term() {
   Program p(Site().Json(), kFaktory);
   Conn worker = Hello(p, "w0"), client = Hello(p);
@@ -377,8 +382,8 @@
   assert(p.Wait() == 0 && Has(p.log, "counters faktory taken=1 served=1"));
 }
 
-// Rules on this front: class out of a map, key and tenant out of custom fields, targets by label, a rate, a
-// refusal.
+// Rules on this front: class from a map, key and tenant from custom fields, targets by label, a rate limit
+// and a rejection.
 void Rules() {
   const std::string file = "/tmp/heronway-e2e-faktory-rules-" + std::to_string(getpid());
   std::ofstream(file) << "map classes = { \"Thumbnail\": \"preview\", \"Upload\": \"save\" }\n"
--- a/tests/net/http_e2e_test.cpp
+++ b/tests/net/http_e2e_test.cpp
@@ -1,4 +1,5 @@
-// Stories of the HTTP front: the whole path over loopback sockets, one for each way it can go wrong.
+// End-to-end tests of the HTTP front over loopback sockets: requests, callbacks, retries, limits, reload and
+// stop.
 #include <ctime>
 
 #include "e2e_harness.h"
@@ -20,16 +21,17 @@
                             std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-// The module may draw either worker: whichever is called first is the first.
+// Accepts the first hop that arrives at one of the n workers, since the module may choose any of them.
+// Returns the worker's index and the connection.
 std::pair<int, Conn> First(Peer* peers, int n) {
   const double until = Now() + 5;
   for (int i = 0;; i = (i + 1) % n) {
     if (peers[i].Called(0.005)) return {i, peers[i].Accept()};
-    assert(Now() < until && "no hop came");
+    assert(Now() < until && "no hop arrived");
   }
 }
 
-// Has the worker serve a job and report room for more; gives the connection to it.
+// Has the worker serve one job and report free slots. Returns its connection, which the program keeps open.
 Conn Warm(Program& p, Peer& worker, const std::string& name) {
   Conn client = Conn::To(p.at);
   client.Send(Job("warm-" + name));
@@ -41,7 +43,8 @@
   return hop;
 }
 
-// A call-back that comes before the 202, and again: one answer, the result untouched, the request unchanged.
+// A callback that arrives before the worker's 202, and a second time, gives one response. The request reaches
+// the worker unchanged and the result reaches the client unchanged.
 void Served() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -63,10 +66,11 @@
   hop.Send(kTaken);
   assert(client.Quiet(0.1));
   client.Send(Job("aa02"));
-  assert(Has(hop.Http(), "Req-Id: aa02") && "the connection is used again");
+  assert(Has(hop.Http(), "Req-Id: aa02") && "the connection is reused");
 }
 
-// A hop that failed, then a late `done` of it while the next hop is out: only the next one's counts.
+// A late `done` of a failed hop while the next hop is in flight is ignored; only the next hop's result
+// counts.
 void LateNews() {
   Peer workers[2];
   const std::string names[] = {"w0", "w1"};
@@ -92,7 +96,8 @@
   audit.Answered("aa01");
 }
 
-// A break after the last byte may have run: a keyed job goes to no other zone, and is not refused.
+// A connection that breaks after the whole request was sent may have run the job: a job with a key is not
+// retried in another zone, and is not shed.
 void Reset() {
   Peer workers[2];
   Site site;
@@ -111,13 +116,13 @@
   audit.Answered("aa01", false);
 }
 
-// A kept connection that breaks under a request: from then on hops come on connections of their own.
+// After a reused connection breaks during a request, later hops use new connections.
 void Kept() {
   Peer worker;
   Program p(OneTarget(worker.at));
   Conn hop = Warm(p, worker, "w0"), client = Conn::To(p.at);
   client.Send(Job("aa01"));
-  assert(Has(hop.Http(), "Req-Id: aa01") && "trusted so far");
+  assert(Has(hop.Http(), "Req-Id: aa01") && "the kept connection is reused until it breaks");
   hop.Close();
   for (const std::string id : {"aa02", "aa03"}) {
     Conn other = Conn::To(p.at);
@@ -130,7 +135,8 @@
   }
 }
 
-// A connection that falls silent is given up, and its job repeated elsewhere, long before the client leaves.
+// A hop whose worker sends nothing is abandoned and retried at another worker well before the client's
+// deadline.
 void Silent() {
   Peer workers[2];
   Site site;
@@ -142,7 +148,7 @@
   auto [first, hop] = First(workers, 2);
   hop.Http();
   audit.Sent("aa01", "w");
-  assert(hop.Ended(1.5) && "given up by the end of its connection");
+  assert(hop.Ended(1.5) && "the abandoned hop's connection is closed");
   audit.Over("aa01", true);
   Conn next = workers[1 - first].Accept();
   next.Http();
@@ -153,8 +159,8 @@
   audit.Answered("aa01");
 }
 
-// At the level debug each step of a hop leaves a line: where it went, what the worker told. At the usual
-// level none is written.
+// At log level debug each step of a hop is logged: its target and what the worker reported. At the default
+// level it is not.
 void HopLines() {
   for (const bool debug : {true, false}) {
     Peer worker;
@@ -173,7 +179,7 @@
   }
 }
 
-// A connection that is refused never ran: even an unsafe job goes on to another worker, once.
+// A refused connection cannot have run the job, so even an at-most-once job is retried at another worker.
 void NeverRan() {
   Peer dead, worker;
   dead.Close();
@@ -190,7 +196,8 @@
   }
 }
 
-// A worker that takes a job and says no more: answered before the deadline, and the worker is told.
+// A worker accepts a job and reports nothing more: the client gets a response before its deadline, and the
+// worker a DELETE.
 void Deadline() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -204,7 +211,8 @@
   assert(Has(hop.Http(), "DELETE /jobs/aa01 HTTP/1.1\r\n"));
 }
 
-// A client that leaves: the hop that was not taken yet is ended with its connection.
+// When the client disconnects, a hop that the worker has not accepted yet is cancelled by closing its
+// connection.
 void ClientGone() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -216,7 +224,7 @@
   assert(hop.Ended());
 }
 
-// What cannot be read is answered so, and the program serves on.
+// Malformed and unsupported requests get error responses, and the program keeps serving.
 void BadInput() {
   Peer worker;
   Site site;
@@ -226,7 +234,7 @@
   const auto ask = [&p](const std::string& text) { return Conn::To(p.at).Ask(text); };
   assert(
       Has(ask("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: a1\r\nContent-Length: 65537\r\n\r\n"), " 413 "));
-  // Most of the body is still on its way when the answer comes; the answer must not be lost to a reset.
+  // The response is written while most of the body is still arriving; a reset must not discard it.
   Conn large = Conn::To(p.at);
   large.Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: a1\r\nContent-Length: 200000\r\n\r\n");
   for (int i = 0; i < 20; ++i) large.Send(std::string(10'000, 'x')), Pause(0.002);
@@ -237,9 +245,11 @@
   assert(Has(ask(Job("a/../b")), " 400 "));
   assert(Has(ask("POST /preview HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline-Ms: x\r\nContent-Length: 0\r\n\r\n"),
              " 400 "));
-  assert(Has(ask("POST /save HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 0\r\n\r\n"), " 400 "));  // no key
+  assert(Has(ask("POST /save HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 0\r\n\r\n"),
+             " 400 "));  // no idempotency key
   assert(Has(ask("POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n[}"), " 400 "));
-  // Never held here: refused, so that its worker calls again (an upgrade's other process may hold it).
+  // A callback for an unknown job is rejected so that the worker retries it: during an upgrade the other
+  // process may hold the job.
   assert(Has(News(p, "ff", "w0", "\"done\""), " 503 "));
   Conn half = Conn::To(p.at);
   half.Send("POST /preview HTTP/1.1\r\nReq-Id: a");
@@ -253,8 +263,8 @@
   assert(Has(client.Http(), " 200 "));
 }
 
-// What bad clients send gets an error or a close within 3 s of connecting, a worker sees none of it, and a
-// usual client is served meanwhile on few descriptors.
+// Invalid requests and slow clients get an error or a close within 3 s of connecting and reach no worker. A
+// normal client is served meanwhile, with few descriptors.
 void BadClients() {
   Peer worker;
   Site site;
@@ -280,7 +290,8 @@
     const std::string answer = conn.Ask(bad);
     assert((Has(answer, " 400 ") || Has(answer, " 413 ")) && conn.Ended(3));
   }
-  // Silent, half a head, half a body, a byte at a time: all are over in 3 s, and none is in the others' way.
+  // Clients that send nothing, half a head, half a body or one byte at a time are all closed within 3 s and
+  // do not delay other clients.
   std::vector<Conn> slow;
   const double began = Now();
   for (int i = 0; i < 100; ++i) slow.push_back(Conn::To(p.at));
@@ -297,11 +308,11 @@
   for (Conn& conn : slow) assert(conn.Ended(began + 3 - Now()));
   News(p, "aa01", "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
   assert(Has(client.Http(), " 200 "));
-  assert(Has(Conn::To(p.at).Ask(Job("aa01")), " 409 ") && "ids are new with every request");
-  // A worker that finds a request unusable is not at fault: the next one goes to it, at once.
+  assert(Has(Conn::To(p.at).Ask(Job("aa01")), " 409 ") && "a request id must not be used again");
+  // A worker that answers 400 is not treated as failed: the next request goes to it immediately.
   Conn odd = Conn::To(p.at);
   odd.Send(Job("aa02"));
-  hop = worker.Accept();  // the one before has idled out
+  hop = worker.Accept();  // the previous connection was closed as idle
   assert(Has(hop.Http(), "Req-Id: aa02"));
   hop.Send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
   assert(Has(odd.Http(), " 400 ") && !worker.Called(0.05));
@@ -310,8 +321,8 @@
   assert(Has(hop.Http(), "Req-Id: aa03"));
 }
 
-// A third of the descriptors for requests, while as many connections as can be say nothing: all are taken,
-// and call-backs come through.
+// A third of the descriptors is used by requests while idle connections fill the rest: all requests are
+// accepted and callbacks get through.
 void Third() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -323,11 +334,11 @@
   }
   for (int i = 0; i < 300; ++i) silent.push_back(Conn::To(p.at));
   assert(Has(News(p, "c0", "w0", "\"started\""), " 200 "));
-  for (Conn& c : clients) assert(c.Quiet(0) && "turned away");
+  for (Conn& c : clients) assert(c.Quiet(0) && "a request was rejected");
 }
 
-// A worker declines unstarted, and no more hops are allowed: given up, so answered at once, and with the time
-// to come back, though the client would wait for seconds more and the class is unsafe to repeat.
+// A worker declines a job before starting it and no hops are left: the job is shed at once with Retry-After,
+// although the client would wait for seconds more and the class is at most once.
 void ShedAtOnce() {
   Peer worker;
   Site site;
@@ -348,8 +359,8 @@
   assert(Has(answer, " 503 ") && Has(answer, "Retry-After: ") && Now() - sent < 1);
 }
 
-// Discovery: the next watch follows an answer at once, a 503 is backed off from, a draining target gets
-// nothing.
+// Discovery: the next watch request follows a response at once, a 503 causes a back-off, and a draining
+// target gets no new work.
 void Draining() {
   Peer discovery, workers[2];
   Site site;
@@ -380,13 +391,13 @@
   assert(!workers[0].Called(0.01) && Has(watch.Http(), "from=5"));
 }
 
-// SIGHUP: a bad file changes nothing; a new address of discovery is asked for its whole list at once and
-// again when it fails; the old list serves until the new one is there, which lacks the old target. What is
-// held stays, and a drain takes a new address as well.
+// SIGHUP: an invalid file changes nothing. A new discovery address is asked for its full list at once, and
+// again after an error; the old list is used until the new one, which lacks the old target, arrives. Requests
+// in progress are kept, and a reload also works while the program is stopping.
 void Reload() {
   Peer old, discovery, later, workers[2];
   Site site;
-  site.memory_mb = 32;  // the least that a day gives
+  site.memory_mb = 32;  // the smallest memory limit that a deployment sets
   site.discovery = old.at;
   site.targets = Target("w0", workers[0].at);
   Program p(site.Json());
@@ -439,7 +450,8 @@
   assert(p.Wait() == 0 && Has(p.log, "reload failed=\"config: not JSON") && Has(p.log, "taken=4 served=4"));
 }
 
-// SIGTERM: what is held is answered, late arrivals and call-backs are taken, and then it exits with 0.
+// SIGTERM: requests in progress get their responses, late requests and callbacks are still accepted, and the
+// program then exits with 0.
 void Term() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -454,8 +466,9 @@
   late.Send(Job("aa02", "/once"));
   assert(Has(hop.Http(), "aa02"));
   hop.Send(kTaken);
-  assert(idle.Quiet(1.2) && "clients come on the connections they have, and may find nobody else");
-  assert(idle.Ended(0.6) && "and would bring more for as long as they are open");
+  assert(idle.Quiet(1.2) &&
+         "idle connections stay open at first: their clients may have no other process to use");
+  assert(idle.Ended(0.6) && "idle connections are then closed, since they could bring new requests");
   News(p, "aa02", "w0", "\"done\",\"result\":\"two\"");
   assert(Has(late.Http(), "two"));
   News(p, "aa01", "w0", "\"done\",\"result\":\"one\"");
@@ -464,9 +477,9 @@
   assert(Has(p.log, "counters http taken=3 served=3") && Has(p.log, "end=answered"));
 }
 
-// A planned stop where the longest deadline is short: the kill comes that long and 0.7 s after SIGTERM.
-// Clients go on sending on the connections that are still open; what was taken has its whole answer by
-// then.
+// A planned stop with a short longest deadline: the platform kills the process that deadline plus 0.7 s after
+// SIGTERM. Clients keep sending on connections that are still open; every accepted request must have its
+// whole response before the kill.
 void StopBeforeTheKill(int deadline_ms) {
   Peer worker;
   Site site;
@@ -475,7 +488,7 @@
   site.deadline = deadline_ms * 1000;
   Program p(site.Json());
   std::vector<Conn> clients;
-  for (int i = 0; i < 8; ++i) {  // each was served before, so that its connection is kept
+  for (int i = 0; i < 8; ++i) {  // serve each client once, so that its connection is kept open
     clients.push_back(Conn::To(p.at));
     const std::string id = "warm-" + std::to_string(i);
     clients.back().Send(Job(id, "/preview", deadline_ms));
@@ -489,26 +502,26 @@
   p.Signal(SIGTERM);
   std::vector<Conn*> asked;
   for (std::size_t i = 0; i < clients.size(); ++i) {
-    // From the last moment of the late arrivals to just before the kill; no server ever answers.
+    // Spread from the end of the period for late requests to just before the kill; no worker ever responds.
     const double at =
         told + 0.65 + (kill_after - 0.68) * static_cast<double>(i) / static_cast<double>(clients.size());
     Pause(std::max(0.0, at - Now()));
-    if (clients[i].Ended(0)) continue;  // closed between requests: its client goes elsewhere
+    if (clients[i].Ended(0)) continue;  // closed between requests: the client would use another process
     clients[i].Send(Job("late-" + std::to_string(i), "/preview", deadline_ms));
     asked.push_back(&clients[i]);
   }
   for (Conn* client : asked) {
-    assert(!client->Quiet(std::max(0.0, told + kill_after - Now())) && "unanswered as the kill comes");
+    assert(!client->Quiet(std::max(0.0, told + kill_after - Now())) && "no response by the time of the kill");
     assert(Has(client->Http(), "HTTP/1.1 "));
   }
-  assert(p.Wait() == 0 && Now() - told < kill_after + 0.05 && "it has ended before the kill");
+  assert(p.Wait() == 0 && Now() - told < kill_after + 0.05 && "the program exits before the kill");
 }
 void TermShort() {
   for (const int deadline_ms : {1200, 700, 300}) StopBeforeTheKill(deadline_ms);
 }
 
-// The machine's wall clock stands an hour ahead of the servers': one that has just started is in slow start
-// all the same, and gets little of the traffic.
+// With the scheduler's wall clock an hour ahead of the workers', a worker that has just started is still in
+// slow start and gets little of the traffic.
 void WrongClock() {
   Peer workers[2];
   Site site;
@@ -535,21 +548,21 @@
     News(p, id, "w" + std::to_string(which), "\"done\",\"result\":\"r\"");
     client.Http();
   }
-  assert(hops[1] <= 4 && "a server in slow start is taken for a warm one");
+  assert(hops[1] <= 4 && "a worker in slow start was treated as warm");
 }
 
-// A server that restarts while discovery is down is in slow start all the same: that nobody listened there,
-// and then somebody does, says so. Before, it got the traffic of a warm one at once.
+// A worker that restarts while discovery is down is in slow start: its port first refuses connections and
+// then accepts them. Guards against the fault that such a worker got the traffic of a warm one at once.
 void UnheardRestart() {
   Peer workers[2];
-  Site site;  // nobody listens at its discovery's address
+  Site site;  // no discovery listens at the default address
   site.warm_up = 60'000'000;
   site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
   std::string json = site.Json();
   json.replace(json.find("\"coldFrom\":0.3"), 14, "\"coldFrom\":0.02");
   Program p(json);
   int serial = 0;
-  const auto serve = [&](int open) {  // by which of the first `open` workers
+  const auto serve = [&](int open) {  // serves one job; returns which of the first `open` workers got it
     const std::string id = "aa" + std::to_string(++serial);
     Conn client = Conn::To(p.at);
     client.Send(Job(id));
@@ -562,19 +575,20 @@
   };
   int before = 0;
   for (int n = 0; n < 30; ++n) before += serve(2);
-  assert(before > 6 && "it is warm");
+  assert(before > 6 && "the worker is warm");
   workers[1].Close();
   for (int n = 0; n < 20; ++n) serve(1);
   workers[1].Reopen();
   bool asked = false;
   for (const double until = Now() + 15; !asked && Now() < until; Pause(0.01)) asked = serve(2) == 1;
-  assert(asked && "it is tried again");
+  assert(asked && "the restarted worker is used again");
   int after = 0;
   for (int n = 0; n < 30; ++n) after += serve(2);
-  assert(after <= 4 && "a server in slow start is taken for a warm one");
+  assert(after <= 4 && "a worker in slow start was treated as warm");
 }
 
-// More connections than descriptors: idle ones make room, a new client and its call-back get through.
+// More connections than descriptors: idle connections are closed, so a new client and its callback get
+// through.
 void Crowd() {
   Peer worker;
   Site site;
@@ -591,8 +605,8 @@
   assert(crowd[0].Ended(1));
 }
 
-// A crowd that connects at one moment is accepted at the pace that is set, and one that was served before is
-// served meanwhile; who came behind the crowd waits for its turn and no longer.
+// Many clients that connect at once are accepted at the configured rate. A client connected before is served
+// meanwhile, and one that connects after them waits only for its turn.
 void Paced() {
   Site site;
   site.sockets = 1024;
@@ -609,16 +623,16 @@
   behind.Send(ready);
   before.Send(ready);
   before.Http();
-  assert(Now() - began < 0.3 && "the crowd keeps a served client waiting");
+  assert(Now() - began < 0.3 && "new connections delayed a client that is already connected");
   behind.Http();
   const double waited = Now() - began;
-  assert(waited > 0.5 && waited < 2 && "a hundred before it at a hundred a second, less the burst");
+  assert(waited > 0.5 && waited < 2 && "100 connections ahead of it at 100 per second, less the burst");
   p.Signal(SIGTERM);
   assert(p.Wait() == 0 && !Has(p.log, "paced=0"));
 }
 
-// With a rule file: it says the class, refuses, and limits by key; SIGHUP takes a new one whole or not at
-// all.
+// A rule file sets the class, rejects requests and limits the rate by key. SIGHUP loads a new file as a whole
+// or not at all.
 void Rules() {
   Peer worker;
   const std::string file = "/tmp/heronway-e2e-rules-" + std::to_string(getpid());
@@ -641,7 +655,7 @@
   const std::string limited = ask("a3", "old-name", "X-Who: me\r\n").Http();
   assert(Has(limited, "HTTP/1.1 429") &&
          (Has(limited, "Retry-After: 9.") || Has(limited, "Retry-After: 10.")));
-  write("rule bad { when glob(header(\"User-Agent\"), ");  // half of a new file
+  write("rule bad { when glob(header(\"User-Agent\"), ");  // an incomplete file
   p.Signal(SIGHUP);
   Pause(0.2);
   assert(Has(ask("a4", "preview", "User-Agent: Bad/1\r\n").Http(), "HTTP/1.1 403"));
@@ -649,14 +663,16 @@
   p.Signal(SIGHUP);
   Pause(0.2);
   assert(Has(ask("a5", "preview", "").Http(), "closed"));
-  News(p, "a2", "w0", "\"done\",\"result\":\"r\"");  // what was under way keeps the rules that it came under
+  News(p, "a2", "w0",
+       "\"done\",\"result\":\"r\"");  // a request in progress keeps the rules it was accepted under
   assert(Has(first.Http(), "HTTP/1.1 200"));
   std::remove(file.c_str());
   p.Signal(SIGTERM);
   assert(p.Wait() == 0 && Has(p.log, "expected"));
 }
 
-// Rules that name targets: a job goes to no other, and new rules hold for the targets that were there before.
+// Rules that select targets: a job goes only to those, and reloaded rules also apply to targets already in
+// the route table.
 void Targets() {
   Peer first, second;
   const std::string file = "/tmp/heronway-e2e-targets-" + std::to_string(getpid());
--- a/tests/net/ops_e2e_test.cpp
+++ b/tests/net/ops_e2e_test.cpp
@@ -1,4 +1,5 @@
-// Stories of the operators' days: a second process beside the first, the console, settings that change.
+// End-to-end tests of operation: upgrade beside a running process, console, drain, planned stop and the fleet
+// of schedulers.
 #include "e2e_harness.h"
 
 namespace {
@@ -17,9 +18,9 @@
                           std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-// The connection on which the next hop comes: one that is kept, or a new one.
+// Returns the connection on which the next hop arrives: a kept one or a new one, which is added to `hops`.
 Conn& NextHop(Peer& worker, std::vector<Conn>& hops) {
-  for (const double until = Now() + 5;; assert(Now() < until && "no hop came")) {
+  for (const double until = Now() + 5;; assert(Now() < until && "no hop arrived")) {
     for (Conn& kept : hops) {
       if (!kept.Quiet(0.005) && !kept.Ended(0)) return kept;
     }
@@ -27,7 +28,7 @@
   }
 }
 
-// Serves one job through whichever process the kernel gives the connection to.
+// Serves one job through whichever process the kernel assigns the connection to.
 void ServeOne(const std::string& at, Peer& worker, std::vector<Conn>& hops, const std::string& id) {
   Conn client = Conn::To(at);
   client.Send(Job(id));
@@ -38,14 +39,14 @@
   assert(Has(client.Http(), " 200 "));
 }
 
-// A second process on the same address starts while the first serves; the first ends by SIGTERM with 0 and
-// what it held answered, and the second serves from then on.
+// A second process starts on the same address while the first one serves. On SIGTERM the first one answers
+// its requests and exits with 0; the second one serves from then on.
 void Upgrade() {
   Peer worker;
   Site site;
   site.targets = Target("w0", worker.at);
   Program first(site.Json());
-  Conn held = Conn::To(first.at);  // before the second is there: the first has it
+  Conn held = Conn::To(first.at);  // accepted by the first process, as the second does not run yet
   site.listen = first.at;
   Program second(site.Json());
   assert(second.at == first.at);
@@ -55,15 +56,16 @@
   hops.back().Http();
   hops.back().Send(kTaken);
   first.Signal(SIGTERM);
-  // The call-back may reach either process; the one that holds the job answers it.
+  // A callback may reach either process; only the one that holds the job accepts it.
   for (int i = 0; i < 30; ++i) News(first.at, "aa01", "w0", "\"done\",\"result\":\"one\"");
   assert(Has(held.Http(), "one"));
   assert(first.Wait() == 0);
   for (const std::string id : {"bb01", "bb02", "bb03"}) ServeOne(first.at, worker, hops, id);
 }
 
-// A call-back for a job that this process never held is refused on a connection that ends, so that its
-// worker calls again and may reach the process that holds it; one of a job that it held is taken.
+// A callback for a job that this process never held is rejected and its connection closed, so that the worker
+// retries on a new connection and may reach the process that holds the job. A late callback for a job it held
+// is accepted.
 void ForeignNews() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -75,7 +77,8 @@
   assert(Has(answer, " 503 ") && callback.Ended(1));
   std::vector<Conn> hops;
   ServeOne(p.at, worker, hops, "aa01");
-  assert(Has(News(p.at, "aa01", "w0", "\"done\",\"result\":\"again\""), " 200 ") && "a late one is taken");
+  assert(Has(News(p.at, "aa01", "w0", "\"done\",\"result\":\"again\""), " 200 ") &&
+         "a late callback is accepted");
 }
 
 std::string Call(Program& p, const std::string& method, const std::string& path) {
@@ -83,7 +86,7 @@
       .Ask(method + " " + path + " HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
 }
 
-// One worker, and a console at a port of its own.
+// Configuration with one worker and a console on a free port.
 std::string WithConsole(const Peer& worker) {
   Site site;
   site.targets = Target("w0", worker.at);
@@ -91,8 +94,9 @@
   return site.Json();
 }
 
-// An operator's drain: readiness says no at both addresses, an idle client is let go within 2 s, a job in
-// service is answered, nothing ends; activate makes it ready again, and the figures count what was done.
+// Drain from the console: readiness fails at both addresses, an idle client is closed within 2 s, a job in
+// progress still completes and the process keeps running. Activate makes it ready again, and the metrics
+// count all jobs.
 void Drain() {
   Peer worker;
   Program p(WithConsole(worker));
@@ -108,7 +112,7 @@
   assert(Has(Call(p, "PUT", "/v1/scheduler/drain"), " 200 "));
   assert(Has(Call(p, "GET", "/v1/readyz"), " 503 "));
   assert(Has(Conn::To(p.at).Ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 503 "));
-  assert(idle.Ended(2.2) && Now() - told < 2.1 && "an idle client is let go");
+  assert(idle.Ended(2.2) && Now() - told < 2.1 && "an idle client is closed");
   assert(Has(News(p.at, "aa02", "w0", "\"done\",\"result\":\"two\""), " 200 "));
   assert(Has(busy.Http(), "two"));
   assert(Has(Call(p, "PUT", "/v1/scheduler/activate"), " 200 "));
@@ -120,8 +124,8 @@
   assert(Has(Call(p, "GET", "/v1/nothing"), " 404 "));
 }
 
-// Callers that connect and say nothing, more than the console holds, and one that sends garbage: a usual
-// caller is answered within 1 s all the same, and the silent ones are let go.
+// More silent console connections than the console accepts, and one that sends garbage: a normal request is
+// still answered within 1 s, and the silent connections are closed.
 void ConsoleStall() {
   Peer worker;
   Program p(WithConsole(worker));
@@ -132,10 +136,10 @@
   assert(Has(garbage.Http(), " 400 "));
   const double asked = Now();
   assert(Has(Call(p, "GET", "/v1/readyz"), " 200 ") && Now() - asked < 1);
-  assert(silent.back().Ended(1) && "a caller that says nothing is let go");
+  assert(silent.back().Ended(1) && "a silent connection is closed");
 }
 
-// A planned stop waits for an answer that its client has not read whole.
+// A planned stop waits until a slow client has read its whole response.
 void LastBytes() {
   Peer worker;
   Program p(OneTarget(worker.at));
@@ -150,12 +154,13 @@
                                 std::to_string(news.size()) + "\r\n\r\n" + news),
              " 200 "));
   p.Signal(SIGTERM);
-  assert(p.Lives(1.5) && "ended with half of an answer unsent");
+  assert(p.Lives(1.5) && "exited with part of a response unsent");
   const std::string answer = client.Http();
   assert(answer.ends_with(result) && p.Wait() == 0);
 }
 
-// More than is read at once comes behind a call: its answer is read whole, and then the end, no reset.
+// More data than one read takes follows a console request: the response arrives whole, followed by a close
+// and not by a reset.
 void ConsoleBehind() {
   Peer worker;
   Program p(WithConsole(worker));
@@ -164,7 +169,7 @@
   caller.Send("GET /v1/readyz HTTP/1.1\r\nHost: s\r\n\r\n" + std::string(64 * 1024, ' '));
   p.Thaw();
   assert(Has(caller.Http(), " 200 "));
-  assert(!caller.Quiet(2) && caller.Finished() && "reset, and not ended");
+  assert(!caller.Quiet(2) && caller.Finished() && "the connection was reset instead of closed");
 }
 
 std::string Clustered(const std::string& name, const std::string& more, const std::string& fleet = "f") {
@@ -179,8 +184,8 @@
   return false;
 }
 
-// Three processes find each other; a fourth of another fleet is not heard; a killed one is given up, one that
-// ends by SIGTERM has left; jobs are served in every standing.
+// Three processes find each other and ignore a fourth from another fleet. A killed process is declared dead,
+// one that stops by SIGTERM has left, and jobs are served in every quorum state.
 void Members() {
   Peer worker;
   const std::string at =
@@ -215,8 +220,8 @@
   ServeOne(one.at, worker, hops, "aa03");
 }
 
-// One scheduler finds that a worker breaks its connections; another, which has sent it nothing, looks by one
-// probe and finds it well there, and goes on using it.
+// One scheduler finds that a worker's connections fail and reports it to the other. That one, which has sent
+// the worker nothing yet, checks it with one probe, finds it healthy and keeps using it.
 void News() {
   Peer broken, well;
   const std::string at =
@@ -241,7 +246,7 @@
   assert(Has(probe.Http(), "GET /status/load"));
   probe.Send("HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nqueue=0,x0=2");
   assert(Until([&] { return Has(Call(two, "GET", "/v1/metrics"), "app.fleet.news_looked_into=1\n"); }));
-  Conn other = Conn::To(two.at);  // its own probes and the hop, on connections of their own
+  Conn other = Conn::To(two.at);  // probes and the hop arrive on separate connections
   other.Send(Job("bb01"));
   std::vector<Conn> calls;
   calls.push_back(std::move(probe));
@@ -253,8 +258,8 @@
   }
 }
 
-// 10,000 datagrams a second that are no messages, beside usual jobs: all are served, the log is bounded, and
-// the count is told.
+// 10,000 invalid datagrams per second beside normal jobs: all jobs are served, the number of log lines is
+// bounded, and every datagram is counted.
 void Flood() {
   Peer worker;
   const std::string at =
@@ -290,7 +295,7 @@
   assert(lines >= 1 && lines <= 12);
 }
 
-// With the cluster off there is nothing of it: the same descriptors as a program that knows no such section.
+// With the cluster disabled its console paths, metrics and sockets do not exist.
 void ClusterOff() {
   Peer worker;
   Program off(WithConsole(worker), "{\"enabled\":false}",
@@ -299,9 +304,9 @@
          Has(Call(off, "PUT", "/v1/cluster/leave"), " 404 "));
   assert(!Has(Call(off, "GET", "/v1/metrics"), "fleet"));
   Program on(WithConsole(worker), "{\"enabled\":false}", Clustered("one", ",\"listen\":\"127.0.0.1:0\""));
-  // Both watch a discovery that is not there: a dial may be under way.
+  // Both connect to a discovery that does not exist, so a connection attempt may be in progress.
   assert(Until([&] { return on.Descriptors() == off.Descriptors() + 2; }) &&
-         "a datagram socket and a listener");
+         "the cluster adds one datagram socket and one listener");
 }
 
 }  // namespace
--- a/tests/net/watch_e2e_test.cpp
+++ b/tests/net/watch_e2e_test.cpp
@@ -1,10 +1,12 @@
-// Stories of the watch on discovery: when it must be opened anew, whatever became of the call before.
+// End-to-end tests of the discovery watch: when it must be reopened after each kind of failure, and which
+// route table is used meanwhile.
 #include "e2e_harness.h"
 
 namespace {
 using namespace e2e;
 
-// What discovery has counts as told 6 s later; fresh work must have stopped a grace after that.
+// Seconds after a change in discovery at which the scheduler must know it. New work for a removed or draining
+// target must stop a grace period after that.
 constexpr double kCountsAsTold = 6;
 
 std::string Changes(int generation, const std::string& targets, const char* reset = "false") {
@@ -13,8 +15,8 @@
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A watch that falls silent in the moment in which it opened, and a drain right behind that: the next one is
-// opened, on another connection, in time for the drain to be known 6 s after discovery had it.
+// A watch that gets no response from the start, and a drain right after it was opened: a new watch is opened
+// on another connection early enough for the drain to be known within 6 s.
 void Silent() {
   Peer discovery, workers[2];
   Site site;
@@ -24,7 +26,7 @@
   Conn silent = discovery.Accept();
   assert(Has(silent.Http(), "from=4&hold_ms="));
   const double drains = Now();
-  assert(discovery.Called(kCountsAsTold) && "a silent watch was not opened anew in time");
+  assert(discovery.Called(kCountsAsTold) && "a silent watch was not reopened in time");
   Conn watch = discovery.Accept();
   assert(Has(watch.Http(), "from=4&hold_ms=") && silent.Ended());
   watch.Send(Changes(5, Target("w0", workers[0].at, "a", "draining")));
@@ -35,8 +37,8 @@
   assert(!workers[0].Called(0.05));
 }
 
-// Discovery that is down for long: however often a call failed, the next comes soon enough for a change to be
-// known 6 s after discovery is back.
+// Discovery is down for a long time: the back-off stays short enough for a change to be known within 6 s
+// after discovery is back, however many calls failed.
 void Down() {
   Peer discovery, worker;
   Site site;
@@ -46,18 +48,18 @@
   discovery.Accept().Close();
   for (int i = 0; i < 5; ++i) {
     const double failed = Now();
-    assert(discovery.Called(kCountsAsTold / 2) && "the back-off outlasts what may go unheard");
+    assert(discovery.Called(kCountsAsTold / 2) && "the back-off is longer than a change may stay unknown");
     Conn call = discovery.Accept();
     call.Http();
     if (i % 2 == 0)
       call.Send("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     call.Close();
-    assert(Now() - failed > 0.1 && "it calls without a pause");
+    assert(Now() - failed > 0.1 && "calls are repeated without a pause");
   }
 }
 
-// Changes of an earlier generation than the one that is known: the table stays, and the whole list is asked
-// for, since nobody can tell what came between.
+// A change with an older generation than the known one leaves the route table as it is, and the full list is
+// requested, since changes may have been missed.
 void Older() {
   Peer discovery, workers[2];
   Site site;
@@ -77,12 +79,13 @@
                 "\r\nContent-Length: 0\r\n\r\n");
     workers[1].Accept();
   }
-  assert(!workers[0].Called(0.05) && "an old list brought a draining target back");
+  assert(!workers[0].Called(0.05) && "an older list made a draining target ready again");
   next.Send(Changes(2, Target("w1", workers[1].at), "true"));
   assert(Has(next.Http(), "from=2&hold_ms="));
 }
 
-// An answer that never ends, byte by byte: the clock runs from the call, not from the last byte.
+// A response that arrives byte by byte and never ends: the timeout runs from the request and not from the
+// last byte.
 void Endless() {
   Peer discovery, worker;
   Site site;
@@ -94,14 +97,14 @@
   const double called = Now();
   watch.Send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{");
   while (!discovery.Called(0.2)) {
-    assert(Now() - called < kCountsAsTold && "it waits for as long as bytes come");
+    assert(Now() - called < kCountsAsTold && "the timeout was extended by each byte");
     if (!watch.Ended(0)) watch.Send(" ");
   }
   assert(Has(discovery.Accept().Http(), "from=4&hold_ms="));
 }
 
-// Discovery ends the connection behind its answer, or sends another answer behind it that nobody asked for,
-// before either is read: the next call goes out on another connection, and at once.
+// Discovery closes the connection right after its response, or sends a second, unrequested response after it,
+// before the program reads either: the next request goes out at once on another connection.
 void Behind() {
   for (const bool ends : {true, false}) {
     Peer discovery, worker;
@@ -116,18 +119,19 @@
     ends ? watch.Close() : watch.Send(Changes(6, ""));
     const double thawed = Now();
     p.Thaw();
-    assert(discovery.Called(1) && Now() - thawed < 1 && "the next call is late, or on what is unclean");
+    assert(discovery.Called(1) && Now() - thawed < 1 &&
+           "the next request is late or reuses the unusable connection");
     assert(Has(discovery.Accept().Http(), "from=5&hold_ms="));
   }
 }
 
-// Idle clients that fill the descriptors, some of them served before, while discovery is down: it is asked
-// all the same, and when it is back its list, a hop and a call-back find theirs, within the limit.
+// Idle clients fill the descriptors while discovery is down. Discovery is still polled, and once it is back
+// the watch, a hop and a callback get descriptors within the limit.
 void Crowded() {
   Peer discovery, worker;
   Site site;
   site.discovery = discovery.at;
-  site.sockets = 64;  // the least that a configuration may give
+  site.sockets = 64;  // the smallest value that a configuration may have
   Program p(site.Json());
   const std::string ready = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
   std::vector<Conn> crowd;
@@ -135,7 +139,7 @@
     crowd.push_back(Conn::To(p.at));
     if (i % 2 == 0 && i < 20) assert(Has(crowd.back().Ask(ready), " 503 "));
   }
-  for (int i = 0; i < 2; ++i) discovery.Accept().Close();  // down
+  for (int i = 0; i < 2; ++i) discovery.Accept().Close();  // discovery is down
   Conn watch = discovery.Accept();
   watch.Http();
   assert(p.Descriptors() <= site.sockets);
@@ -158,9 +162,9 @@
   return "POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
 }
 
-// A process that starts has a list of unknown age from its configuration. Until discovery has answered,
-// nothing is sent by it and the process is not ready: what it lacks may count as told long ago. A request
-// that comes meanwhile waits, and goes where the answer says.
+// A process starts with a route table of unknown age from its configuration. Until discovery has responded,
+// the process is not ready and sends no work, since the table may lack changes it should already know. A
+// request that arrives meanwhile waits and is sent by the list in the response.
 void CachedList() {
   Peer discovery, workers[2];
   Site site;
@@ -171,7 +175,7 @@
   client.Send(Preview("aa01"));
   Conn watch = discovery.Accept();
   assert(Has(watch.Http(), "from=4&hold_ms="));
-  assert(!workers[0].Called(0.5) && "sent by a list that discovery has not confirmed");
+  assert(!workers[0].Called(0.5) && "work was sent by a list that discovery has not confirmed");
   assert(Has(Conn::To(p.at).Ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 503 "));
   watch.Send(Changes(9, Target("w0", workers[0].at, "a", "gone") + "," + Target("w1", workers[1].at)));
   assert(Has(watch.Http(), "from=9"));
@@ -179,9 +183,8 @@
   assert(Has(Conn::To(p.at).Ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 200 "));
 }
 
-// Discovery can be reached and answers, but no answer arrives whole: what changed meanwhile counts as told
-// 6 s after discovery had it. From then on nothing is sent by the old list, until an answer confirms or
-// replaces it.
+// Discovery accepts connections, but no response arrives whole. Once the list was last confirmed 6 s ago it
+// counts as out of date, and no work is sent by it until a response confirms or replaces it.
 void TornForLong() {
   Peer discovery, workers[2];
   Site site;
@@ -205,7 +208,7 @@
   }
   Conn client = Conn::To(p.at);
   client.Send(Preview("aa01"));
-  assert(!workers[0].Called(0.2) && "sent by a list that counts as out of date");
+  assert(!workers[0].Called(0.2) && "work was sent by a list that is out of date");
   Conn call = discovery.Accept();
   call.Http();
   call.Send(Changes(7, Target("w0", workers[0].at, "a", "gone") + "," + Target("w1", workers[1].at)));
