--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -1,9 +1,9 @@
 // Measures the throughput and latency of durable jobs, relative to plain synced appends on the same disk in
 // the same run, and the time of a start with many unfinished jobs. Not run by CI.
 //
-//   durable_bench ack [--clients 64] [--seconds 3] [--rounds 3]   acknowledged jobs a second, p50, p99
-//   durable_bench copies [--seconds 3] [--rounds 3]               1, 3, 5 copies; 1, 16, 64 in flight
-//   durable_bench recovery [--rounds 3]                           time to serve and memory, by unfinished jobs
+//   durable_bench ack [--clients 64] [--seconds 3] [--rounds 3]  acknowledged jobs a second, p50, p99
+//   durable_bench copies [--seconds 3] [--rounds 3]            1, 3, 5 copies; 1, 16, 64 in flight
+//   durable_bench recovery [--rounds 3]                        time to serve and memory, by unfinished jobs
 #include <fcntl.h>
 #include <sys/epoll.h>
 
