--- a/src/cluster/copies/report_forwarder.cpp
+++ b/src/cluster/copies/report_forwarder.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-std::uint64_t ReportForwarder::Start(const std::vector<std::string>& others, Done done) {
+std::uint64_t ReportForwarder::StartQuery(const std::vector<std::string>& others, Done done) {
   if (others.empty() || queries_.full()) {
     done(others.empty() ? ForwardOutcome::kUnknownJob : ForwardOutcome::kRetry);
     return 0;
--- a/src/cluster/copies/report_forwarder.h
+++ b/src/cluster/copies/report_forwarder.h
@@ -1,7 +1,7 @@
 // Forwarding of workers' reports. An ACK, a FAIL or a call-back may reach a scheduler that does not serve the
-// job, because another has taken it over or given it back. The report is sent to the other members, which do
-// not forward it any further, and the one that serves the job stores it. The caller chooses the members and
-// sends the frames.
+// job, because another member has taken the job over or given it back. The report is sent to the other
+// members, and the one that serves the job stores it; none forwards it again. The caller chooses the members
+// and sends the frames.
 #ifndef HERONWAY_CLUSTER_COPIES_REPORT_FORWARDER_H_
 #define HERONWAY_CLUSTER_COPIES_REPORT_FORWARDER_H_
 
@@ -22,24 +22,26 @@
 // again.
 enum class ForwardOutcome : std::uint8_t { kUnknownJob, kStored, kRetry };
 
-// A worker's report as sent between members: id, target, state and result. Its front is sent in the frame.
+// Encodes a worker's report as sent between members: id, target, state and result. Its front is sent in the
+// frame.
 std::string EncodeReport(const core::HopCallback& report);
+// Returns nothing if the bytes are not a valid report.
 std::optional<core::HopCallback> DecodeReport(std::string_view bytes);
 
 // Tracks the reports that are being forwarded and decides the outcome of each.
 class ReportForwarder {
  public:
-  static constexpr std::size_t kMaxOpen =
-      MemberQueries<ForwardOutcome>::kMaxOpen;  // further reports end with kRetry
+  // Reports above this number end with kRetry.
+  static constexpr std::size_t kMaxOpen = MemberQueries<ForwardOutcome>::kMaxOpen;
   static constexpr std::size_t kMaxResultBytes = 256 * 1024;
   static constexpr net::Micros kReplyTimeout = 1'500'000;  // a commit may take a second
   using Done = std::function<void(ForwardOutcome)>;
 
   explicit ReportForwarder(net::Loop& loop)
       : queries_(loop, [](const ForwardOutcome& outcome) { return outcome == ForwardOutcome::kStored; }) {}
-  // Returns the number under which the report is to be sent to `others`, or 0 if it is not to be sent. `done`
-  // is called once, possibly before this returns.
-  std::uint64_t Start(const std::vector<std::string>& others, Done done);
+  // Returns the query number under which the report is to be sent to `others`, or 0 if it is not to be sent.
+  // `done` is called once, possibly before this returns.
+  std::uint64_t StartQuery(const std::vector<std::string>& others, Done done);
   void OnReply(std::uint64_t number, const std::string& by, ForwardOutcome outcome) {
     queries_.OnReply(number, by, outcome);
   }
--- a/src/cluster/copies/report_forwarding.cpp
+++ b/src/cluster/copies/report_forwarding.cpp
@@ -23,9 +23,10 @@
   f.kind = Frame::Kind::kRequest;
   f.group = front;
   f.message = EncodeReport(report);
-  f.server = report_forwarder_.Start(others, [done = std::move(done), recently_gone](ForwardOutcome outcome) {
-    done(outcome == ForwardOutcome::kUnknownJob && recently_gone ? ForwardOutcome::kRetry : outcome);
-  });
+  f.server =
+      report_forwarder_.StartQuery(others, [done = std::move(done), recently_gone](ForwardOutcome outcome) {
+        done(outcome == ForwardOutcome::kUnknownJob && recently_gone ? ForwardOutcome::kRetry : outcome);
+      });
   if (f.server == 0) return;
   ++reports_forwarded_;
   for (const std::string& to : others) links_.Send(to, f);
--- a/tests/cluster/report_forwarder_test.cpp
+++ b/tests/cluster/report_forwarder_test.cpp
@@ -10,8 +10,8 @@
   net::Loop loop;
   ReportForwarder forwarder{loop};
   std::vector<ForwardOutcome> outcomes;
-  std::uint64_t Ask(const std::vector<std::string>& others) {
-    return forwarder.Start(others, [this](ForwardOutcome h) { outcomes.push_back(h); });
+  std::uint64_t Forward(const std::vector<std::string>& others) {
+    return forwarder.StartQuery(others, [this](ForwardOutcome outcome) { outcomes.push_back(outcome); });
   }
   void Run(net::Micros time) {
     net::Timer end(loop, [this] { loop.Stop(); });
@@ -22,7 +22,7 @@
 
 TEST(ReportForwarder, StoredIsFinalAndUnknownNeedsAllMembers) {
   Forwarding a;
-  const auto one = a.Ask({"s1", "s2"}), two = a.Ask({"s1", "s2"}), three = a.Ask({"s1", "s2"});
+  const auto one = a.Forward({"s1", "s2"}), two = a.Forward({"s1", "s2"}), three = a.Forward({"s1", "s2"});
   a.forwarder.OnReply(one, "s1", ForwardOutcome::kUnknownJob);
   EXPECT_TRUE(a.outcomes.empty()) << "the other may have the job";
   a.forwarder.OnReply(one, "s1", ForwardOutcome::kUnknownJob);
@@ -41,11 +41,11 @@
 
 TEST(ReportForwarder, SilentMemberMayHaveTheJob) {
   Forwarding a;
-  const auto one = a.Ask({"s1", "s2"});
+  const auto one = a.Forward({"s1", "s2"});
   a.forwarder.OnReply(one, "s1", ForwardOutcome::kUnknownJob);
   a.Run(ReportForwarder::kReplyTimeout - 300'000);
   EXPECT_TRUE(a.outcomes.empty());
-  a.Ask({"s1"});
+  a.Forward({"s1"});
   a.Run(500'000);
   ASSERT_EQ(a.outcomes, std::vector<ForwardOutcome>{ForwardOutcome::kRetry});
   a.forwarder.OnReply(one, "s2", ForwardOutcome::kStored);
@@ -56,10 +56,10 @@
 
 TEST(ReportForwarder, OpenReportsAreLimitedAndNoOtherMemberMeansUnknown) {
   Forwarding a;
-  EXPECT_EQ(a.Ask({}), 0u);
+  EXPECT_EQ(a.Forward({}), 0u);
   EXPECT_EQ(a.outcomes, std::vector<ForwardOutcome>{ForwardOutcome::kUnknownJob});
-  for (std::size_t n = 0; n < ReportForwarder::kMaxOpen; ++n) EXPECT_NE(a.Ask({"s1"}), 0u);
-  EXPECT_EQ(a.Ask({"s1"}), 0u);
+  for (std::size_t n = 0; n < ReportForwarder::kMaxOpen; ++n) EXPECT_NE(a.Forward({"s1"}), 0u);
+  EXPECT_EQ(a.Forward({"s1"}), 0u);
   EXPECT_EQ(a.outcomes.back(), ForwardOutcome::kRetry);
 }
 
