--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -58,7 +58,8 @@
     timers_.push({job_manager_wakeup_ = next, 0, kJobManagerTimer, 0});
 }
 
-void Reducer::ProcessExpiredLeases() {
+// Cancels the hops whose lease has expired; the job manager handles everything else that is due.
+void Reducer::ProcessDueJobs() {
   job_manager_wakeup_ = 0;
   std::vector<std::string> expired;
   job_manager_->ProcessDue(now_, records_, expired);
--- a/src/core/reducer.cpp
+++ b/src/core/reducer.cpp
@@ -173,10 +173,10 @@
   // that replaces this one.
   if (e.no_capacity || ShedsAllArrivals(now_)) {
     UpdateAllowance();
-    const Micros wait =
+    const Micros retry_after =
         limits_ ? limits_->RequestShed(now_, job.job_class, job.client, kNoCapacityRetryAfter, job.arrival)
                 : kNoCapacityRetryAfter;
-    return FinalAnswer(ticket, AnswerKind::kShed, wait, {});
+    return FinalAnswer(ticket, AnswerKind::kShed, retry_after, {});
   }
   NotifyModule(e.request);
 }
@@ -301,7 +301,7 @@
       if (timer.hop == kModuleTimer) NotifyModule(pebblenotch::TimerDue{timer.label});
       if (timer.hop == kAnswersDueTimer) AnswerAllForShutdown();
       if (timer.hop == kStormCheckTimer) CheckStorm();
-      if (timer.hop == kJobManagerTimer) ProcessExpiredLeases();
+      if (timer.hop == kJobManagerTimer) ProcessDueJobs();
       continue;
     }
     const Hop* hop = FindHop(timer.request, timer.hop);
@@ -338,7 +338,7 @@
   if (e.schedulers != std::exchange(fleet_, e).schedulers) NotifyModule(pebblenotch::TierSize{e.schedulers});
 }
 
-// The module is given only the result of this scheduler's own probe, not the reports of other schedulers.
+// The module is given only the result of this scheduler's own probe, not the failure reports of others.
 void Reducer::On(TargetSuspected& e) {
   if (!settings_.may_probe) return;
   ++counters_.probes;
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -295,6 +295,7 @@
     std::uint32_t epoch = 0;    // lease epoch, if the request is durable
     Result cancel_result = Result::kCancelled;
   };
+  // A request, from its arrival until it is answered and all its hops have ended.
   struct Job {
     std::string id;
     Micros arrived_at = 0, deadline = 0, hop_timeout = 0;
@@ -355,7 +356,7 @@
 
   void ReportToJobManager(const Job& job, int hop, const HopCallback& e);
   void HandleUnmatchedCallback(const HopCallback& e);
-  void ProcessExpiredLeases();
+  void ProcessDueJobs();
   void StartDueRounds();
   void EndIdleRounds();
   void EmitRecords();
