--- a/src/match/checker.h
+++ b/src/match/checker.h
@@ -8,7 +8,7 @@
 
 // What may be missing (an option) makes what is computed from it missing; a test of it is false; `or_else`
 // gives what stands instead.
-void Check(FileText& file, std::vector<Fault>& faults);
+void Check(RuleFile& file, std::vector<Diagnostic>& diagnostics);
 
 // Conditions that use conditions: so deep at most.
 inline constexpr int kMaxConditionDepth = 32;
--- a/src/match/cost.cpp
+++ b/src/match/cost.cpp
@@ -7,38 +7,38 @@
 namespace heronway::match {
 namespace {
 
-constexpr double kHead = static_cast<double>(kMaxHeadBytes);
-constexpr double kRegexByte = 2.3;
+constexpr double kHeadBytes = static_cast<double>(kMaxHeadBytes);
+constexpr double kRegexNsPerByte = 2.3;
 
-struct Price {
-  double fixed, byte;
+struct InstructionCost {
+  double fixed, per_byte;
 };
 
-Price PriceOf(const Program& program, const Step& step) {
-  switch (step.code) {
-    case Code::kCompare:
-    case Code::kPrefix:
-    case Code::kSuffix:
-      return {8, 0};  // no longer than the shorter, which is nearly always written out
-    case Code::kContains:
-    case Code::kSplit:
+InstructionCost CostOfInstruction(const Program& program, const Instruction& step) {
+  switch (step.opcode) {
+    case Opcode::kCompare:
+    case Opcode::kPrefix:
+    case Opcode::kSuffix:
+      return {8, 0};  // bounded by the shorter text, which is nearly always a literal
+    case Opcode::kContains:
+    case Opcode::kSplit:
       return {20, program.searches[step.a].text.size() > 1 ? 2.4 : 0.6};
-    case Code::kRegex:
-    case Code::kWhole:
-      return {100, kRegexByte};
-    case Code::kLower:
+    case Opcode::kPartialMatch:
+    case Opcode::kFullMatch:
+      return {100, kRegexNsPerByte};
+    case Opcode::kLower:
       return {10, 0.15};
-    case Code::kHash:
+    case Opcode::kHash:
       return {10, 0.15};
-    case Code::kInSet: {
-      const SetOf& set = program.sets[step.a];
+    case Opcode::kInSet: {
+      const ValueSet& set = program.sets[step.a];
       if (!set.networks.empty()) return {60 * static_cast<double>(set.networks.size()), 0};
       return {30, set.texts.empty() ? 0 : 0.3};
     }
-    case Code::kLookup:
+    case Opcode::kLookup:
       return {30, static_cast<Type>(step.b) == Type::kString ? 0.3 : 0};
-    case Code::kHex:
-    case Code::kInt:
+    case Opcode::kHex:
+    case Opcode::kInt:
       return {30, 0.5};
     default:
       return {4, 0};
@@ -49,35 +49,35 @@
 
 Cost& Cost::operator+=(const Cost& more) {
   fixed += more.fixed;
-  any += more.any;
-  for (const auto& [field, price] : more.per_byte) per_byte[field] += price;
+  any_field += more.any_field;
+  for (const auto& [field, cost] : more.per_byte) per_byte[field] += cost;
   return *this;
 }
 
-double Cost::Worst() const {
-  double dearest = 0;
-  for (const auto& [field, price] : per_byte) dearest = std::max(dearest, price);
-  return fixed + kHead * (any + dearest);
+double Cost::WorstCaseNs() const {
+  double highest = 0;
+  for (const auto& [field, cost] : per_byte) highest = std::max(highest, cost);
+  return fixed + kHeadBytes * (any_field + highest);
 }
 
-Cost CostOf(const Program& program, const Steps& steps) {
+Cost CostOf(const Program& program, const Bytecode& code) {
   Cost out;
-  if (steps.empty()) return out;
+  if (code.empty()) return out;
   out.fixed = 10;
-  for (const Step& s : steps) {
-    const Price price = PriceOf(program, s);
-    out.fixed += price.fixed;
-    if (price.byte <= 0) continue;
-    if (s.of_field > 0) {
-      out.per_byte[s.of_field - 1] += price.byte;
+  for (const Instruction& s : code) {
+    const InstructionCost cost = CostOfInstruction(program, s);
+    out.fixed += cost.fixed;
+    if (cost.per_byte <= 0) continue;
+    if (s.source_field > 0) {
+      out.per_byte[s.source_field - 1] += cost.per_byte;
     } else {
-      out.any += price.byte;
+      out.any_field += cost.per_byte;
     }
   }
   return out;
 }
 
-Cost CostOfAll(const Program& program) {
+Cost SharedCost(const Program& program) {
   Cost out;
   for (std::uint32_t i = 0; i < program.fields.size(); ++i) {
     const FieldRef::Kind kind = program.fields[i].kind;
@@ -89,11 +89,11 @@
       if (walk) out.per_byte[i] += 0.3;
     }
   }
-  for (const Steps& condition : program.conditions) out += CostOf(program, condition);
+  for (const Bytecode& condition : program.conditions) out += CostOf(program, condition);
   for (const auto& group : program.groups) {
     const auto passes = static_cast<double>(group->sets.size());
     out.fixed += 100 * passes;
-    if (passes > 0) out.per_byte[group->field] += kRegexByte * passes;
+    if (passes > 0) out.per_byte[group->field] += kRegexNsPerByte * passes;
   }
   return out;
 }
--- a/src/match/cost.h
+++ b/src/match/cost.h
@@ -1,10 +1,10 @@
-// What a match may cost at worst, reckoned at load from the limits on heads.
+// The worst-case cost of a match, estimated at load from the limits on request heads.
 //
-// Most steps cost by the byte of the text that they look at, and the texts of one request share one head:
-// its bytes do most harm all in that field which costs most a byte. So costs are kept by field, and the
-// worst is what is fixed, and the longest head times the dearest field's price. What a text was made of
-// counts as the text. The prices are those that bench/match_bench measures, each function on what is worst
-// for it.
+// Most instructions cost time per byte of their operand, and all texts of a request share one head. The
+// worst case is a head that consists of the field with the highest cost per byte. Costs are therefore kept
+// by field, and the bound is the fixed cost plus the largest head times the highest cost per byte. A derived
+// text counts as the field it comes from. The constants are those of bench/match_bench, which runs each
+// function on its worst input.
 #ifndef HERONWAY_MATCH_COST_H_
 #define HERONWAY_MATCH_COST_H_
 
@@ -16,16 +16,16 @@
 
 struct Cost {
   double fixed = 0;                          // nanoseconds
-  std::map<std::uint32_t, double> per_byte;  // by field, nanoseconds
-  double any = 0;                            // of texts that may come of any field
+  std::map<std::uint32_t, double> per_byte;  // nanoseconds, by field
+  double any_field = 0;                      // nanoseconds per byte of texts whose field is unknown
 
   Cost& operator+=(const Cost& more);
-  double Worst() const;  // nanoseconds
+  double WorstCaseNs() const;  // nanoseconds
 };
 
-Cost CostOf(const Program& program, const Steps& steps);
-// Of looking up every field once, of every condition, and of the sets of regular expressions.
-Cost CostOfAll(const Program& program);
+Cost CostOf(const Program& program, const Bytecode& code);
+// The cost shared by all rules: reading each field once, each condition, and the regular expression sets.
+Cost SharedCost(const Program& program);
 
 }  // namespace heronway::match
 
--- a/src/match/dispatch.cpp
+++ b/src/match/dispatch.cpp
@@ -7,19 +7,19 @@
 namespace heronway::match {
 namespace {
 
-constexpr std::size_t kMostTexts = 64;         // of one rule; a larger set is one look-up by itself
-constexpr std::size_t kMostEntries = 2 << 20;  // in all lists: prefixes of prefixes repeat their rules
+constexpr std::size_t kMaxTextsPerRule = 64;      // a larger set is a hash lookup of its own
+constexpr std::size_t kMaxListEntries = 2 << 20;  // in all lists; a nested prefix repeats rules
 
-// A field of the request that is a string, as its name and arguments; empty where the node is none.
+// A unique name for a string field of the request with its argument; empty if the node is not one.
 std::string FieldName(const Node& n) {
   if (n.type.type != Type::kString) return "";
-  if (n.form == Form::kName) return n.stands_for == nullptr ? n.text : "";
-  if (n.form != Form::kCall ||
+  if (n.kind == NodeKind::kName) return n.resolved == nullptr ? n.text : "";
+  if (n.kind != NodeKind::kCall ||
       (n.text != "segment" && n.text != "header" && n.text != "query" && n.text != "custom"))
     return "";
-  const Node& what = *n.kids[0];
+  const Node& what = *n.children[0];
   std::string name = what.text.empty() ? std::to_string(what.value.number) : what.text;
-  // A header's name is the same in any case.
+  // Header names are case-insensitive.
   if (n.text == "header") {
     for (char& c : name) c = c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
   }
@@ -34,35 +34,38 @@
 
 }  // namespace
 
-const Dispatch::Needs& Dispatch::NeedsOf(const Node& condition) {
-  const auto known = known_.find(&condition);
-  return known != known_.end() ? known->second : known_[&condition] = Find(condition);
+const Dispatch::Requirements& Dispatch::RequirementsOf(const Node& condition) {
+  const auto known = requirements_cache_.find(&condition);
+  return known != requirements_cache_.end()
+             ? known->second
+             : requirements_cache_[&condition] = ComputeRequirements(condition);
 }
 
-Dispatch::Needs Dispatch::Find(const Node& n) {
-  Needs out;
+Dispatch::Requirements Dispatch::ComputeRequirements(const Node& n) {
+  Requirements out;
   const auto add = [&out](const Node& field, std::vector<std::string> texts,
                           std::vector<std::string> prefixes) {
     const std::string name = FieldName(field);
     if (!name.empty()) out[name] = {&field, std::move(texts), std::move(prefixes)};
   };
-  switch (n.form) {
-    case Form::kName:  // a condition
-      return n.stands_for != nullptr && n.type.type == Type::kBool ? NeedsOf(*n.stands_for) : out;
-    case Form::kAnd: {
-      out = NeedsOf(*n.kids[0]);
-      for (const auto& [name, need] : NeedsOf(*n.kids[1])) {  // either will do: the narrower one
-        const auto [it, fresh] = out.try_emplace(name, need);
-        if (!fresh && need.size() < it->second.size()) it->second = need;
+  switch (n.kind) {
+    case NodeKind::kName:  // a condition
+      return n.resolved != nullptr && n.type.type == Type::kBool ? RequirementsOf(*n.resolved) : out;
+    case NodeKind::kAnd: {
+      out = RequirementsOf(*n.children[0]);
+      for (const auto& [name, requirement] :
+           RequirementsOf(*n.children[1])) {  // both sides must hold: keep the narrower requirement
+        const auto [it, fresh] = out.try_emplace(name, requirement);
+        if (!fresh && requirement.size() < it->second.size()) it->second = requirement;
       }
       return out;
     }
-    case Form::kOr: {
-      const Needs& right = NeedsOf(*n.kids[1]);
-      for (const auto& [name, left] : NeedsOf(*n.kids[0])) {
+    case NodeKind::kOr: {
+      const Requirements& right = RequirementsOf(*n.children[1]);
+      for (const auto& [name, left] : RequirementsOf(*n.children[0])) {
         const auto other = right.find(name);
-        if (other == right.end() || left.size() + other->second.size() > kMostTexts) continue;
-        Need both = left;
+        if (other == right.end() || left.size() + other->second.size() > kMaxTextsPerRule) continue;
+        Requirement both = left;
         both.texts.insert(both.texts.end(), other->second.texts.begin(), other->second.texts.end());
         both.prefixes.insert(both.prefixes.end(), other->second.prefixes.begin(),
                              other->second.prefixes.end());
@@ -70,31 +73,31 @@
       }
       return out;
     }
-    case Form::kCompare:
+    case NodeKind::kCompare:
       if (n.text != "==") return out;
       for (const int literal : {0, 1}) {
-        const Node& value = *n.kids[static_cast<std::size_t>(literal)];
-        if (value.form == Form::kLiteral)
-          add(*n.kids[static_cast<std::size_t>(1 - literal)], {value.text}, {});
+        const Node& value = *n.children[static_cast<std::size_t>(literal)];
+        if (value.kind == NodeKind::kLiteral)
+          add(*n.children[static_cast<std::size_t>(1 - literal)], {value.text}, {});
       }
       return out;
-    case Form::kIn: {
-      const Node& set = n.kids[1]->stands_for != nullptr ? *n.kids[1]->stands_for : *n.kids[1];
-      if (set.form != Form::kList || set.kids.size() > kMostTexts) return out;
+    case NodeKind::kIn: {
+      const Node& set = n.children[1]->resolved != nullptr ? *n.children[1]->resolved : *n.children[1];
+      if (set.kind != NodeKind::kList || set.children.size() > kMaxTextsPerRule) return out;
       std::vector<std::string> texts;
-      for (const auto& kid : set.kids) texts.push_back(kid->text);
-      add(*n.kids[0], std::move(texts), {});
+      for (const auto& child : set.children) texts.push_back(child->text);
+      add(*n.children[0], std::move(texts), {});
       return out;
     }
-    case Form::kCall:
-      if (n.text == "prefix") add(*n.kids[0], {}, {n.kids[1]->text});
+    case NodeKind::kCall:
+      if (n.text == "prefix") add(*n.children[0], {}, {n.children[1]->text});
       if (n.text == "glob") {
-        const std::string& glob = n.kids[1]->text;
+        const std::string& glob = n.children[1]->text;
         const auto wild = glob.find_first_of("*?");
         if (wild == glob.npos) {
-          add(*n.kids[0], {glob}, {});
+          add(*n.children[0], {glob}, {});
         } else {
-          add(*n.kids[0], {}, {glob.substr(0, wild)});
+          add(*n.children[0], {}, {glob.substr(0, wild)});
         }
       }
       return out;
@@ -113,20 +116,20 @@
   return at;
 }
 
-// Hands the rules of shorter prefixes down to the longer ones. False where that is too much. Without
-// recursion: a prefix may be as long as the file.
-bool Dispatch::Inherit(std::uint32_t root, std::int32_t none, std::size_t& entries) {
+// Adds the rules of shorter prefixes to the lists of longer ones. Returns false if the lists would exceed
+// kMaxListEntries. Iterative, since a prefix may be as long as the file.
+bool Dispatch::InheritLists(std::uint32_t root, std::int32_t none, std::size_t& entries) {
   std::vector<std::pair<std::uint32_t, std::int32_t>> open = {{root, none}};
   while (!open.empty()) {
     const auto [at, above] = open.back();
     open.pop_back();
-    Part& part = trie_[at];
-    if (part.list >= 0) {
-      List& own = under_[static_cast<std::size_t>(part.list)];
-      if (above >= 0) own = Merged(own, under_[static_cast<std::size_t>(above)]);
-      if ((entries += own.size()) > kMostEntries) return false;
+    TrieNode& node = trie_[at];
+    if (node.list >= 0) {
+      List& own = prefix_lists_[static_cast<std::size_t>(node.list)];
+      if (above >= 0) own = Merged(own, prefix_lists_[static_cast<std::size_t>(above)]);
+      if ((entries += own.size()) > kMaxListEntries) return false;
     }
-    for (const auto& [byte, next] : part.next) open.emplace_back(next, part.list >= 0 ? part.list : above);
+    for (const auto& [byte, next] : node.next) open.emplace_back(next, node.list >= 0 ? node.list : above);
   }
   return true;
 }
@@ -135,57 +138,59 @@
   std::map<std::string, std::size_t> counts;
   for (const Node* condition : conditions) {
     if (condition == nullptr) continue;
-    for (const auto& [name, need] : NeedsOf(*condition)) ++counts[name];
+    for (const auto& [name, requirement] : RequirementsOf(*condition)) ++counts[name];
   }
   const auto most = std::max_element(counts.begin(), counts.end(),
                                      [](const auto& a, const auto& b) { return a.second < b.second; });
   const bool any = most != counts.end() && most->second >= 2;
   std::map<std::string, std::set<std::uint32_t>> equal, begins;
   for (std::uint32_t i = 0; i < conditions.size(); ++i) {
-    const Needs* needs = any && conditions[i] != nullptr ? &NeedsOf(*conditions[i]) : nullptr;
-    const auto need = needs != nullptr ? needs->find(most->first) : Needs::const_iterator{};
-    if (needs == nullptr || need == needs->end()) {
-      others_.push_back(i);
+    const Requirements* requirements =
+        any && conditions[i] != nullptr ? &RequirementsOf(*conditions[i]) : nullptr;
+    const auto requirement =
+        requirements != nullptr ? requirements->find(most->first) : Requirements::const_iterator{};
+    if (requirements == nullptr || requirement == requirements->end()) {
+      unindexed_.push_back(i);
       continue;
     }
-    if (field_ == nullptr) field_ = need->second.field;
-    for (const auto& text : need->second.texts) equal[text].insert(i);
-    for (const auto& prefix : need->second.prefixes) begins[prefix].insert(i);
+    if (field_ == nullptr) field_ = requirement->second.field;
+    for (const auto& text : requirement->second.texts) equal[text].insert(i);
+    for (const auto& prefix : requirement->second.prefixes) begins[prefix].insert(i);
   }
   std::size_t entries = 0;
   for (const auto& [prefix, rules] : begins) {
     const std::uint32_t at = Insert(prefix);
-    trie_[at].list = static_cast<std::int32_t>(under_.size());
-    under_.emplace_back(rules.begin(), rules.end());
+    trie_[at].list = static_cast<std::int32_t>(prefix_lists_.size());
+    prefix_lists_.emplace_back(rules.begin(), rules.end());
     longest_prefix_ = std::max(longest_prefix_, prefix.size());
   }
   prefixes_ = begins.size();
-  if (!Inherit(0, -1, entries)) {
-    // Prefixes of prefixes of prefixes: such rules are tried always.
+  if (!InheritLists(0, -1, entries)) {
+    // Too many nested prefixes: rules with a prefix become candidates for every request.
     List always;
     for (const auto& [prefix, rules] : begins) always = Merged(always, {rules.begin(), rules.end()});
-    others_ = Merged(others_, always);
+    unindexed_ = Merged(unindexed_, always);
     for (auto& [text, rules] : equal) {
       for (const std::uint32_t rule : always) rules.erase(rule);
     }
     trie_.assign(1, {});
-    under_.clear();
+    prefix_lists_.clear();
     longest_prefix_ = prefixes_ = 0;
   }
-  kept_.reserve(equal.size());
+  text_storage_.reserve(equal.size());
   for (const auto& [text, rules] : equal) {
-    kept_.push_back(text);
+    text_storage_.push_back(text);
     List list(rules.begin(), rules.end());
-    if (const auto under = DeepestUnder(text); under >= 0)
-      list = Merged(list, under_[static_cast<std::size_t>(under)]);
-    equal_.emplace(kept_.back(), std::move(list));
+    if (const auto under = LongestPrefixList(text); under >= 0)
+      list = Merged(list, prefix_lists_[static_cast<std::size_t>(under)]);
+    text_lists_.emplace(text_storage_.back(), std::move(list));
     longest_text_ = std::max(longest_text_, text.size());
   }
-  known_.clear();
+  requirements_cache_.clear();
 }
 
-std::int32_t Dispatch::DeepestUnder(std::string_view value) const {
-  const Part* at = &trie_[0];
+std::int32_t Dispatch::LongestPrefixList(std::string_view value) const {
+  const TrieNode* at = &trie_[0];
   std::int32_t list = at->list;
   for (const char c : value) {
     const auto next = at->next.find(c);
@@ -197,18 +202,18 @@
 }
 
 const Dispatch::List* Dispatch::Find(std::string_view value) const {
-  // What is longer than any text need not be hashed.
+  // A value longer than every indexed text cannot be equal to one: skips the hash.
   if (value.size() <= longest_text_) {
-    if (const auto it = equal_.find(value); it != equal_.end()) return &it->second;
+    if (const auto it = text_lists_.find(value); it != text_lists_.end()) return &it->second;
   }
-  const std::int32_t under = under_.empty() ? -1 : DeepestUnder(value);
-  return under >= 0 ? &under_[static_cast<std::size_t>(under)] : nullptr;
+  const std::int32_t under = prefix_lists_.empty() ? -1 : LongestPrefixList(value);
+  return under >= 0 ? &prefix_lists_[static_cast<std::size_t>(under)] : nullptr;
 }
 
-std::vector<const Dispatch::List*> Dispatch::Lists() const {
+std::vector<const Dispatch::List*> Dispatch::AllLists() const {
   std::vector<const List*> out;
-  for (const auto& [text, list] : equal_) out.push_back(&list);
-  for (const List& list : under_) out.push_back(&list);
+  for (const auto& [text, list] : text_lists_) out.push_back(&list);
+  for (const List& list : prefix_lists_) out.push_back(&list);
   return out;
 }
 
--- a/src/match/dispatch.h
+++ b/src/match/dispatch.h
@@ -1,8 +1,8 @@
-// Which rules a request may match at all, by one look-up of the field that most rules test.
+// An index of rules by the field that most of them test: one lookup gives the candidates for a request.
 //
-// A rule whose condition cannot hold unless a field equals one of some texts, or begins with one of some,
-// is found under these; the others are tried always. Equal texts are a hash table, prefixes a trie, in
-// which common beginnings stand once. What a look-up gives is one list in the rules' order, made at load.
+// A rule is indexed if its condition can only hold where the field equals one of a set of texts or starts
+// with one of a set of prefixes; all other rules are candidates for every request. Texts are in a hash
+// table, prefixes in a prefix tree (trie). Each lookup yields one list in rule order, built at load.
 #ifndef HERONWAY_MATCH_DISPATCH_H_
 #define HERONWAY_MATCH_DISPATCH_H_
 
@@ -19,45 +19,46 @@
 
 class Dispatch {
  public:
-  using List = std::vector<std::uint32_t>;  // places of rules, ascending
+  using List = std::vector<std::uint32_t>;  // rule indices, ascending
 
-  // By rule its checked condition, null where it has none. The conditions must outlive this.
+  // Takes the checked condition of each rule, null for a rule without one. The conditions must outlive this
+  // object.
   void Build(const std::vector<const Node*>& conditions);
 
-  const Node* field() const { return field_; }  // null: every rule is tried
-  // The rules to try besides `others` where the field has this value. No allocation. Null: none.
+  const Node* field() const { return field_; }  // null: no index, every rule is a candidate
+  // The candidates besides unindexed() for this field value; null: none. Does not allocate.
   const List* Find(std::string_view value) const;
-  const List& others() const { return others_; }
-  std::size_t texts() const { return equal_.size(); }
+  const List& unindexed() const { return unindexed_; }
+  std::size_t texts() const { return text_lists_.size(); }
   std::size_t prefixes() const { return prefixes_; }
-  // Every list that a look-up may give.
-  std::vector<const List*> Lists() const;
-  double worst_cost_ns() const;  // of a look-up, nanoseconds
+  // Every list that Find() can return.
+  std::vector<const List*> AllLists() const;
+  double worst_cost_ns() const;  // of one lookup
 
  private:
-  struct Part {  // of the trie: one byte further
+  struct TrieNode {  // of the prefix tree; an edge is one byte
     std::map<char, std::uint32_t> next;
-    std::int32_t list = -1;  // of `under_`
+    std::int32_t list = -1;  // of `prefix_lists_`
   };
-  struct Need {  // one of these texts, or the beginning with one of these
+  struct Requirement {  // the field equals one of the texts or starts with one of the prefixes
     const Node* field = nullptr;
     std::vector<std::string> texts, prefixes;
     std::size_t size() const { return texts.size() + prefixes.size(); }
   };
-  using Needs = std::map<std::string, Need>;  // by the field as it is written
-  const Needs& NeedsOf(const Node& condition);
-  Needs Find(const Node& condition);
+  using Requirements = std::map<std::string, Requirement>;  // by FieldName()
+  const Requirements& RequirementsOf(const Node& condition);
+  Requirements ComputeRequirements(const Node& condition);
   std::uint32_t Insert(std::string_view prefix);
-  bool Inherit(std::uint32_t part, std::int32_t above, std::size_t& entries);
-  std::int32_t DeepestUnder(std::string_view value) const;
+  bool InheritLists(std::uint32_t node, std::int32_t above, std::size_t& entries);
+  std::int32_t LongestPrefixList(std::string_view value) const;
 
-  std::map<const Node*, Needs> known_;  // while it is built
+  std::map<const Node*, Requirements> requirements_cache_;  // used by Build() only
   const Node* field_ = nullptr;
-  std::unordered_map<std::string_view, List> equal_;
-  std::vector<std::string> kept_;  // what `equal_` points to
-  std::vector<Part> trie_{1};
-  std::vector<List> under_;
-  List others_;
+  std::unordered_map<std::string_view, List> text_lists_;
+  std::vector<std::string> text_storage_;  // what `text_lists_` points to
+  std::vector<TrieNode> trie_{1};
+  std::vector<List> prefix_lists_;
+  List unindexed_;
   std::size_t longest_text_ = 0, longest_prefix_ = 0, prefixes_ = 0;
 };
 
--- a/src/match/format.cpp
+++ b/src/match/format.cpp
@@ -11,21 +11,21 @@
 // A piece that stays whole: a token as it was written, or a comment.
 struct Word {
   std::string_view text;
-  Token token = Token::kSign;
+  TokenKind kind = TokenKind::kSymbol;
   bool comment = false;
   bool own_line = false;      // a comment with nothing before it on its line
   bool blank_before = false;  // an empty line stood before it
   bool starts_item = false, starts_line = false;
 };
 
-std::vector<Word> WordsOf(std::string_view text, const FileText& file) {
+std::vector<Word> WordsOf(std::string_view text, const RuleFile& file) {
   const std::set<std::size_t> items(file.items.begin(), file.items.end()),
       lines(file.lines.begin(), file.lines.end());
   std::vector<Word> out;
   std::size_t at = 0;
-  for (const Lexeme& lexeme : Lex(text)) {
+  for (const Token& token : Lex(text)) {
     std::size_t newlines = 0;
-    while (at < lexeme.at.begin) {
+    while (at < token.range.begin) {
       if (text[at] == '#') {
         std::size_t end = std::min(text.find('\n', at), text.size());
         Word word;
@@ -42,15 +42,15 @@
       }
       newlines += text[at++] == '\n' ? 1 : 0;
     }
-    if (lexeme.token == Token::kEnd) break;
+    if (token.kind == TokenKind::kEnd) break;
     Word word;
-    word.text = text.substr(lexeme.at.begin, lexeme.at.end - lexeme.at.begin);
-    word.token = lexeme.token;
+    word.text = text.substr(token.range.begin, token.range.end - token.range.begin);
+    word.kind = token.kind;
     word.blank_before = newlines > 1;
-    word.starts_item = items.contains(lexeme.at.begin);
-    word.starts_line = lines.contains(lexeme.at.begin);
+    word.starts_item = items.contains(token.range.begin);
+    word.starts_line = lines.contains(token.range.begin);
     out.push_back(word);
-    at = lexeme.at.end;
+    at = token.range.end;
   }
   return out;
 }
@@ -74,7 +74,7 @@
   if (IsWord(a, "(") || IsWord(a, "[") || IsWord(b, ")") || IsWord(b, "]") || IsWord(b, ",") ||
       IsWord(b, ":") || IsWord(a, "..") || IsWord(b, ".."))
     return false;
-  if (IsWord(b, "(")) return a.token != Token::kName || Keyword(a);
+  if (IsWord(b, "(")) return a.kind != TokenKind::kName || Keyword(a);
   if (IsWord(a, "-") && (before == nullptr || Binary(*before))) return false;
   return true;
 }
@@ -200,9 +200,9 @@
 }  // namespace
 
 std::string Format(const std::string& name, std::string_view text) {
-  std::vector<Fault> faults;
-  const FileText file = Parse(text, faults);
-  if (!faults.empty()) throw RuleError(name, text, std::move(faults));
+  std::vector<Diagnostic> diagnostics;
+  const RuleFile file = Parse(text, diagnostics);
+  if (!diagnostics.empty()) throw RuleError(name, text, std::move(diagnostics));
   return Formatter(WordsOf(text, file)).All();
 }
 
--- a/src/match/lexer.cpp
+++ b/src/match/lexer.cpp
@@ -9,8 +9,8 @@
 namespace heronway::match {
 namespace {
 
-bool NameStart(char c) { return std::isalpha(static_cast<unsigned char>(c)) != 0 || c == '_'; }
-bool NameRest(char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_'; }
+bool IsNameStart(char c) { return std::isalpha(static_cast<unsigned char>(c)) != 0 || c == '_'; }
+bool IsNameChar(char c) { return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '_'; }
 
 struct Unit {
   const char* name;
@@ -30,21 +30,21 @@
  public:
   explicit Lexer(std::string_view text) : text_(text) {}
 
-  std::vector<Lexeme> All() {
-    std::vector<Lexeme> out;
+  std::vector<Token> All() {
+    std::vector<Token> out;
     for (;;) {
-      Skip();
-      Lexeme next;
-      next.at.begin = at_;
+      SkipBlanks();
+      Token next;
+      next.range.begin = at_;
       if (at_ < text_.size()) Read(next);
-      next.at.end = at_;
+      next.range.end = at_;
       out.push_back(std::move(next));
-      if (out.back().token == Token::kEnd) return out;
+      if (out.back().kind == TokenKind::kEnd) return out;
     }
   }
 
  private:
-  void Skip() {
+  void SkipBlanks() {
     while (at_ < text_.size()) {
       if (std::isspace(static_cast<unsigned char>(text_[at_])) != 0) {
         ++at_;
@@ -56,28 +56,28 @@
     }
   }
 
-  void Read(Lexeme& out) {
+  void Read(Token& out) {
     const char c = text_[at_];
-    if (NameStart(c)) {
+    if (IsNameStart(c)) {
       const std::size_t from = at_;
-      while (at_ < text_.size() && NameRest(text_[at_])) ++at_;
-      out.token = Token::kName;
+      while (at_ < text_.size() && IsNameChar(text_[at_])) ++at_;
+      out.kind = TokenKind::kName;
       out.text = text_.substr(from, at_ - from);
     } else if (c == '"') {
       ReadString(out);
     } else if (std::isdigit(static_cast<unsigned char>(c)) != 0) {
       ReadNumber(out);
     } else {
-      ReadSign(out);
+      ReadSymbol(out);
     }
   }
 
-  void Bad(Lexeme& out, std::string why) {
-    out.token = Token::kBad;
+  void Fail(Token& out, std::string why) {
+    out.kind = TokenKind::kInvalid;
     out.text = std::move(why);
   }
 
-  void ReadString(Lexeme& out) {
+  void ReadString(Token& out) {
     ++at_;
     std::string value;
     while (at_ < text_.size() && text_[at_] != '"' && text_[at_] != '\n') {
@@ -90,34 +90,34 @@
           if (hex.size() == 2 && std::isxdigit(static_cast<unsigned char>(hex[0])) != 0 &&
               std::isxdigit(static_cast<unsigned char>(hex[1])) != 0)
             byte = std::stoi(hex, nullptr, 16);
-          if (byte < 0) return Bad(out, "\\x wants two hexadecimal digits");
+          if (byte < 0) return Fail(out, "\\x wants two hexadecimal digits");
           at_ += 2;
           c = static_cast<char>(byte);
         } else if (e == 'n' || e == 't' || e == '"' || e == '\\') {
           c = e == 'n' ? '\n' : e == 't' ? '\t' : e;
         } else {
-          return Bad(out, std::string("\\") + e + " is no escape; there are \\n \\t \\\" \\\\ and \\xHH");
+          return Fail(out, std::string("\\") + e + " is no escape; there are \\n \\t \\\" \\\\ and \\xHH");
         }
       }
       value += c;
     }
-    if (at_ >= text_.size() || text_[at_] != '"') return Bad(out, "the string does not end on its line");
+    if (at_ >= text_.size() || text_[at_] != '"') return Fail(out, "the string does not end on its line");
     ++at_;
-    out.token = Token::kString;
+    out.kind = TokenKind::kString;
     out.text = std::move(value);
   }
 
-  void ReadNumber(Lexeme& out) {
+  void ReadNumber(Token& out) {
     const std::size_t from = at_;
     // A colon is an address's where more of one stands behind it, or another before it; else it is a map's.
     const auto colon = [&] {
       if (text_[at_] != ':') return false;
       const char next = at_ + 1 < text_.size() ? text_[at_ + 1] : ' ';
-      return NameRest(next) || next == ':' || (at_ > from && text_[at_ - 1] == ':');
+      return IsNameChar(next) || next == ':' || (at_ > from && text_[at_ - 1] == ':');
     };
-    while (at_ < text_.size() && (NameRest(text_[at_]) || colon() ||
+    while (at_ < text_.size() && (IsNameChar(text_[at_]) || colon() ||
                                   (text_[at_] == '.' && at_ + 1 < text_.size() && text_[at_ + 1] != '.' &&
-                                   NameRest(text_[at_ + 1]))))
+                                   IsNameChar(text_[at_ + 1]))))
       ++at_;
     std::string word(text_.substr(from, at_ - from));
     if (word.find('.') != word.npos || word.find(':') != word.npos) return ReadNetwork(out, word);
@@ -132,23 +132,23 @@
         digit = std::tolower(c) - 'a' + 10;
       if (digit < 0) break;
       if (__builtin_mul_overflow(value, base, &value) || __builtin_add_overflow(value, digit, &value))
-        return Bad(out, "the number is too large");
+        return Fail(out, "the number is too large");
     }
     const std::string unit = word.substr(n);
-    out.token = Token::kNumber;
+    out.kind = TokenKind::kNumber;
     out.number = value;
     if (unit.empty()) return;
     for (const Unit& u : kUnits) {
       if (unit != u.name) continue;
       out.type = u.type;
-      if (__builtin_mul_overflow(value, u.times, &out.number)) Bad(out, "the number is too large");
+      if (__builtin_mul_overflow(value, u.times, &out.number)) Fail(out, "the number is too large");
       return;
     }
-    Bad(out, "unit " + unit + " is not known; there are us ms s min h, B KiB MiB");
+    Fail(out, "unit " + unit + " is not known; there are us ms s min h, B KiB MiB");
   }
 
   // 10.0.0.0/8, 192.168.1.7, 2001:db8::/32 (which must begin with a digit; fc00::/7 stands in net("...")).
-  void ReadNetwork(Lexeme& out, std::string word) {
+  void ReadNetwork(Token& out, std::string word) {
     if (at_ < text_.size() && text_[at_] == '/') {
       word += text_[at_++];
       while (at_ < text_.size() && std::isdigit(static_cast<unsigned char>(text_[at_])) != 0)
@@ -157,30 +157,30 @@
     const auto slash = word.find('/');
     const std::string host = word.substr(0, slash);
     const bool six = host.find(':') != host.npos;
-    out.token = Token::kNetwork;
-    if (!ParseAddress(host, out.address)) return Bad(out, host + " is no address");
+    out.kind = TokenKind::kNetwork;
+    if (!ParseAddress(host, out.address)) return Fail(out, host + " is no address");
     if (slash == word.npos) return;
     const std::string bits = word.substr(slash + 1);
     const int most = six ? 128 : 32;
     if (bits.empty() || bits.size() > 3 || std::stoi(bits) > most)
-      return Bad(out, "a network of this kind has 0 to " + std::to_string(most) + " bits");
+      return Fail(out, "a network of this kind has 0 to " + std::to_string(most) + " bits");
     out.bits = std::stoi(bits) + (six ? 0 : 96);
   }
 
-  void ReadSign(Lexeme& out) {
+  void ReadSymbol(Token& out) {
     for (const char* sign : {"==", "!=", "<=", ">=", "..", "(", ")", "[", "]", "{", "}", "<", ">", "=", ",",
                              "+", "-", "*", ":"}) {
       const std::string_view s(sign);
       if (text_.substr(at_, s.size()) != s) continue;
       at_ += s.size();
-      out.token = Token::kSign;
+      out.kind = TokenKind::kSymbol;
       out.text = s;
       return;
     }
     const auto byte = static_cast<unsigned char>(text_[at_++]);
     char shown[24];
     std::snprintf(shown, sizeof shown, byte > 0x20 && byte < 0x7f ? "'%c'" : "byte 0x%02x", byte);
-    Bad(out, std::string(shown) + " means nothing here");
+    Fail(out, std::string(shown) + " means nothing here");
   }
 
   std::string_view text_;
@@ -204,6 +204,6 @@
   return inet_pton(AF_INET6, text.c_str(), out.data()) == 1;
 }
 
-std::vector<Lexeme> Lex(std::string_view text) { return Lexer(text).All(); }
+std::vector<Token> Lex(std::string_view text) { return Lexer(text).All(); }
 
 }  // namespace heronway::match
--- a/src/match/lexer.h
+++ b/src/match/lexer.h
@@ -11,11 +11,11 @@
 
 namespace heronway::match {
 
-enum class Token : std::uint8_t { kName, kString, kNumber, kNetwork, kSign, kEnd, kBad };
+enum class TokenKind : std::uint8_t { kName, kString, kNumber, kNetwork, kSymbol, kEnd, kInvalid };
 
-struct Lexeme {
-  Token token = Token::kEnd;
-  Place at;
+struct Token {
+  TokenKind kind = TokenKind::kEnd;
+  SourceRange range;
   std::string text;        // a name, a sign, a string's contents, or what is wrong
   Type type = Type::kInt;  // of a number: int, duration or bytes
   std::int64_t number = 0;
@@ -23,7 +23,7 @@
   int bits = 128;
 };
 
-std::vector<Lexeme> Lex(std::string_view text);
+std::vector<Token> Lex(std::string_view text);
 
 }  // namespace heronway::match
 
--- a/src/match/machine.cpp
+++ b/src/match/machine.cpp
@@ -14,8 +14,8 @@
 namespace heronway::match {
 namespace {
 
-constexpr std::int64_t kMost = std::numeric_limits<std::int64_t>::max(),
-                       kLeast = std::numeric_limits<std::int64_t>::min();
+constexpr std::int64_t kMaxInt = std::numeric_limits<std::int64_t>::max(),
+                       kMinInt = std::numeric_limits<std::int64_t>::min();
 
 Value Missing() {
   Value v;
@@ -33,8 +33,8 @@
   return v;
 }
 
-std::int64_t Held(bool overflow, std::int64_t result, bool negative) {
-  return !overflow ? result : negative ? kLeast : kMost;
+std::int64_t Saturate(bool overflow, std::int64_t result, bool negative) {
+  return !overflow ? result : negative ? kMinInt : kMaxInt;
 }
 
 bool Compare(std::uint32_t which, const auto& a, const auto& b) {
@@ -56,7 +56,7 @@
 
 re2::StringPiece Piece(std::string_view text) { return {text.data(), text.size()}; }
 
-bool InNetworks(const SetOf& set, const AddressBytes& address) {
+bool InNetworks(const ValueSet& set, const AddressBytes& address) {
   for (const auto& [bits, networks] : set.networks) {
     AddressBytes masked = address;
     for (int i = 0; i < 16; ++i) {
@@ -70,46 +70,46 @@
 
 }  // namespace
 
-std::size_t Search::In(std::string_view in) const {
+std::size_t SubstringSearch::Find(std::string_view in) const {
   constexpr std::size_t kShort = 256;
   if (in.size() <= kShort || text.size() <= 1) return in.find(text);
   std::uint32_t fits = 0;
   for (std::size_t at = 0; at < in.size(); ++at) {
-    while (fits > 0 && text[fits] != in[at]) fits = back[fits];
+    while (fits > 0 && text[fits] != in[at]) fits = failure[fits];
     if (text[fits] == in[at] && ++fits == text.size()) return at + 1 - fits;
   }
   return in.npos;
 }
 
-Machine::Machine(const Program& program)
+VirtualMachine::VirtualMachine(const Program& program)
     : program_(program),
-      // Conditions use conditions, each with a stack of its own.
+      // Conditions nest up to kMaxConditionDepth (32), each with its own stack frame.
       stack_(static_cast<std::size_t>(program.stack + 2) * 34),
       locals_(static_cast<std::size_t>(program.locals + 1) * 34),
       fields_(program.fields.size()),
-      looked_(program.fields.size()),
-      decided_(program.conditions.size()),
+      field_loaded_(program.fields.size()),
+      condition_state_(program.conditions.size()),
       scratch_(program.scratch) {
-  for (const auto& group : program.groups) fitted_.emplace_back(group->sets.size());
+  for (const auto& group : program.groups) set_state_.emplace_back(group->sets.size());
 }
 
-void Machine::Begin(const Request& request) {
+void VirtualMachine::Begin(const Request& request) {
   request_ = &request;
-  std::fill(looked_.begin(), looked_.end(), 0);
-  std::fill(decided_.begin(), decided_.end(), 0);
-  for (auto& sets : fitted_) std::fill(sets.begin(), sets.end(), 0);
-  scratched_ = 0;
+  std::fill(field_loaded_.begin(), field_loaded_.end(), 0);
+  std::fill(condition_state_.begin(), condition_state_.end(), 0);
+  for (auto& sets : set_state_) std::fill(sets.begin(), sets.end(), 0);
+  scratch_used_ = 0;
 }
 
-Value Machine::Field(std::uint32_t field) {
-  if (looked_[field] == 0) {
-    fields_[field] = Look(program_.fields[field]);
-    looked_[field] = 1;
+Value VirtualMachine::Field(std::uint32_t field) {
+  if (field_loaded_[field] == 0) {
+    fields_[field] = LookUpField(program_.fields[field]);
+    field_loaded_[field] = 1;
   }
   return fields_[field];
 }
 
-Value Machine::Look(const FieldRef& f) const {
+Value VirtualMachine::LookUpField(const FieldRef& f) const {
   const Request& r = *request_;
   const auto maybe = [](std::string_view text) { return text.empty() ? Missing() : Text(text); };
   const auto search = [&f](Request::Pairs pairs, bool any_case) {
@@ -171,15 +171,16 @@
   return Missing();
 }
 
-// Whether the text fits the step's regular expression. Where it is one of many on a field, those that hold
-// it are asked first whether any fits; a set that ran out of memory says nothing.
-bool Machine::Fits(const Step& s, std::string_view text) {
+// Whether the text matches the instruction's regular expression. If the expression belongs to a group, the
+// sets that contain it are tried first: if no member of a set matches, neither does this one. A set that
+// runs out of memory counts as a possible match.
+bool VirtualMachine::MatchesRegex(const Instruction& s, std::string_view text) {
   if (s.b > 0) {
     const std::uint32_t g = program_.group_of[s.a];
     const RegexGroup& group = *program_.groups[g];
-    for (const std::size_t set : {std::size_t{0}, 1 + (s.b - 1) / RegexGroup::kBlock}) {
+    for (const std::size_t set : {std::size_t{0}, 1 + (s.b - 1) / RegexGroup::kBlockSize}) {
       if (set >= group.sets.size()) break;
-      std::uint8_t& any = fitted_[g][set];
+      std::uint8_t& any = set_state_[g][set];
       if (any == 0) {
         RE2::Set::ErrorInfo error{};
         any =
@@ -189,42 +190,43 @@
     }
   }
   const RE2& regex = *program_.regexes[s.a];
-  return s.code == Code::kRegex ? RE2::PartialMatch(Piece(text), regex) : RE2::FullMatch(Piece(text), regex);
+  return s.opcode == Opcode::kPartialMatch ? RE2::PartialMatch(Piece(text), regex)
+                                           : RE2::FullMatch(Piece(text), regex);
 }
 
-bool Machine::Condition(std::uint32_t which, std::size_t stack, std::size_t locals) {
-  if (decided_[which] == 0)
-    decided_[which] = Run(program_.conditions[which], stack, locals).number != 0 ? 2 : 1;
-  return decided_[which] == 2;
+bool VirtualMachine::Condition(std::uint32_t which, std::size_t stack, std::size_t locals) {
+  if (condition_state_[which] == 0)
+    condition_state_[which] = Run(program_.conditions[which], stack, locals).number != 0 ? 2 : 1;
+  return condition_state_[which] == 2;
 }
 
-Value Machine::Run(const Steps& steps, std::size_t base, std::size_t locals) {
-  std::size_t top = base;  // the next free place
+Value VirtualMachine::Run(const Bytecode& code, std::size_t base, std::size_t locals) {
+  std::size_t top = base;  // index of the next free stack slot
   const auto test = [&](bool holds) { stack_[top - 1] = Number(stack_[top - 1].present && holds ? 1 : 0); };
-  for (std::size_t at = 0; at < steps.size(); ++at) {
-    const Step& s = steps[at];
-    switch (s.code) {
-      case Code::kConstant:
+  for (std::size_t at = 0; at < code.size(); ++at) {
+    const Instruction& s = code[at];
+    switch (s.opcode) {
+      case Opcode::kConstant:
         stack_[top++] = program_.constants[s.a];
         break;
-      case Code::kField:
+      case Opcode::kField:
         stack_[top++] = Field(s.a);
         break;
-      case Code::kCondition: {
+      case Opcode::kCondition: {
         const bool holds = Condition(s.a, top, locals + static_cast<std::size_t>(program_.locals));
         stack_[top++] = Number(holds ? 1 : 0);
         break;
       }
-      case Code::kLoad:
+      case Opcode::kLoad:
         stack_[top++] = locals_[locals + s.a];
         break;
-      case Code::kStore:
+      case Opcode::kStore:
         locals_[locals + s.a] = stack_[--top];
         break;
-      case Code::kNot:
+      case Opcode::kNot:
         stack_[top - 1].number = stack_[top - 1].number == 0 ? 1 : 0;
         break;
-      case Code::kCompare: {
+      case Opcode::kCompare: {
         const Value b = stack_[--top], a = stack_[top - 1];
         const bool text = static_cast<Type>(s.b) == Type::kString;
         stack_[top - 1] = Number(
@@ -233,49 +235,49 @@
                 : 0);
         break;
       }
-      case Code::kAdd:
-      case Code::kSubtract:
-      case Code::kMultiply: {
+      case Opcode::kAdd:
+      case Opcode::kSubtract:
+      case Opcode::kMultiply: {
         const Value b = stack_[--top];
         Value& a = stack_[top - 1];
         a.present = a.present && b.present;
         std::int64_t r = 0;
-        if (s.code == Code::kAdd) {
+        if (s.opcode == Opcode::kAdd) {
           const bool over = __builtin_add_overflow(a.number, b.number, &r);
-          r = Held(over, r, a.number < 0);
-        } else if (s.code == Code::kSubtract) {
+          r = Saturate(over, r, a.number < 0);
+        } else if (s.opcode == Opcode::kSubtract) {
           const bool over = __builtin_sub_overflow(a.number, b.number, &r);
-          r = Held(over, r, a.number < 0);
+          r = Saturate(over, r, a.number < 0);
         } else {
           const bool over = __builtin_mul_overflow(a.number, b.number, &r);
-          r = Held(over, r, (a.number < 0) != (b.number < 0));
+          r = Saturate(over, r, (a.number < 0) != (b.number < 0));
         }
         a.number = r;
         break;
       }
-      case Code::kNegate:
-        stack_[top - 1].number = stack_[top - 1].number == kLeast ? kMost : -stack_[top - 1].number;
+      case Opcode::kNegate:
+        stack_[top - 1].number = stack_[top - 1].number == kMinInt ? kMaxInt : -stack_[top - 1].number;
         break;
-      case Code::kJumpIfFalse:
-      case Code::kJumpIfTrue:
-        if ((stack_[top - 1].number != 0) == (s.code == Code::kJumpIfTrue)) {
+      case Opcode::kJumpIfFalse:
+      case Opcode::kJumpIfTrue:
+        if ((stack_[top - 1].number != 0) == (s.opcode == Opcode::kJumpIfTrue)) {
           at = s.a - 1;
         } else {
           --top;
         }
         break;
-      case Code::kJumpIfPresent:
+      case Opcode::kJumpIfPresent:
         if (stack_[top - 1].present) {
           at = s.a - 1;
         } else {
           --top;
         }
         break;
-      case Code::kPresent:
+      case Opcode::kPresent:
         stack_[top - 1] = Number(stack_[top - 1].present ? 1 : 0);
         break;
-      case Code::kInSet: {
-        const SetOf& set = program_.sets[s.a];
+      case Opcode::kInSet: {
+        const ValueSet& set = program_.sets[s.a];
         const Value& v = stack_[top - 1];
         const Type type = static_cast<Type>(s.b);
         test(type == Type::kString    ? set.texts.contains(v.text)
@@ -283,25 +285,25 @@
                                       : set.numbers.contains(v.number));
         break;
       }
-      case Code::kInRange:
+      case Opcode::kInRange:
         test(stack_[top - 1].number >= program_.constants[s.a].number &&
              stack_[top - 1].number <= program_.constants[s.b].number);
         break;
-      case Code::kPrefix:
+      case Opcode::kPrefix:
         test(stack_[top - 1].text.starts_with(program_.constants[s.a].text));
         break;
-      case Code::kSuffix:
+      case Opcode::kSuffix:
         test(stack_[top - 1].text.ends_with(program_.constants[s.a].text));
         break;
-      case Code::kContains:
-        test(program_.searches[s.a].In(stack_[top - 1].text) != std::string_view::npos);
+      case Opcode::kContains:
+        test(program_.searches[s.a].Find(stack_[top - 1].text) != std::string_view::npos);
         break;
-      case Code::kRegex:
-      case Code::kWhole:
-        test(stack_[top - 1].present && Fits(s, stack_[top - 1].text));
+      case Opcode::kPartialMatch:
+      case Opcode::kFullMatch:
+        test(stack_[top - 1].present && MatchesRegex(s, stack_[top - 1].text));
         break;
-      case Code::kLookup: {
-        const MapOf& map = program_.maps[s.a];
+      case Opcode::kLookup: {
+        const ValueMap& map = program_.maps[s.a];
         const Value v = stack_[top - 1];
         const auto find = [&v](const auto& held, const auto& key) {
           const auto it = v.present ? held.find(key) : held.end();
@@ -311,46 +313,46 @@
             static_cast<Type>(s.b) == Type::kString ? find(map.texts, v.text) : find(map.numbers, v.number);
         break;
       }
-      case Code::kSplit: {
-        const Search& by = program_.searches[s.a];
+      case Opcode::kSplit: {
+        const SubstringSearch& by = program_.searches[s.a];
         std::string_view rest = stack_[top - 1].text;
         bool there = stack_[top - 1].present && !by.text.empty();
         for (std::uint32_t n = 1; there && n < s.b; ++n) {
-          const auto end = by.In(rest);
+          const auto end = by.Find(rest);
           there = end != rest.npos;
           if (there) rest.remove_prefix(end + by.text.size());
         }
-        stack_[top - 1] = there ? Text(rest.substr(0, by.In(rest))) : Missing();
+        stack_[top - 1] = there ? Text(rest.substr(0, by.Find(rest))) : Missing();
         break;
       }
-      case Code::kLower: {
+      case Opcode::kLower: {
         Value& v = stack_[top - 1];
-        // The scratch is reckoned at load from the longest heads; what is longer all the same is cut.
-        const std::size_t n = std::min(v.text.size(), scratch_.size() - scratched_);
-        char* out = scratch_.data() + scratched_;
+        // The buffer is sized at load for the largest request head; a longer text is truncated.
+        const std::size_t n = std::min(v.text.size(), scratch_.size() - scratch_used_);
+        char* out = scratch_.data() + scratch_used_;
         std::transform(v.text.begin(), v.text.begin() + static_cast<std::ptrdiff_t>(n), out,
                        [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; });
-        scratched_ += n;
+        scratch_used_ += n;
         v.text = {out, n};
         break;
       }
-      case Code::kLength:
+      case Opcode::kLength:
         stack_[top - 1].number = static_cast<std::int64_t>(stack_[top - 1].text.size());
         break;
-      case Code::kInt:
-      case Code::kHex: {
+      case Opcode::kInt:
+      case Opcode::kHex: {
         const std::string_view text = stack_[top - 1].text;
         std::int64_t number = 0;
         std::uint64_t bits = 0;
         const char* end = text.data() + text.size();
-        const auto r = s.code == Code::kInt ? std::from_chars(text.data(), end, number)
-                                            : std::from_chars(text.data(), end, bits, 16);
+        const auto r = s.opcode == Opcode::kInt ? std::from_chars(text.data(), end, number)
+                                                : std::from_chars(text.data(), end, bits, 16);
         const bool good = stack_[top - 1].present && !text.empty() && r.ec == std::errc() && r.ptr == end;
         stack_[top - 1] =
-            !good ? Missing() : Number(s.code == Code::kInt ? number : static_cast<std::int64_t>(bits));
+            !good ? Missing() : Number(s.opcode == Opcode::kInt ? number : static_cast<std::int64_t>(bits));
         break;
       }
-      case Code::kHash: {
+      case Opcode::kHash: {
         Value& v = stack_[top - 1];
         v.number = static_cast<std::int64_t>(XXH64(v.text.data(), v.text.size(), 0));
         v.text = {};
--- a/src/match/parser.cpp
+++ b/src/match/parser.cpp
@@ -6,210 +6,215 @@
 namespace heronway::match {
 namespace {
 
-constexpr int kDeepest = 64;  // guards the stack against nested brackets
+constexpr int kMaxNestingDepth = 64;  // guards the stack against nested brackets
 
-struct Stop {};  // thrown where an item cannot be read on
+struct ParseAbort {};  // thrown where an item cannot be read on
 
 class Parser {
  public:
-  Parser(std::string_view text, std::vector<Fault>& faults) : tokens_(Lex(text)), faults_(faults) {}
+  Parser(std::string_view text, std::vector<Diagnostic>& diagnostics)
+      : tokens_(Lex(text)), diagnostics_(diagnostics) {}
 
-  FileText File() {
-    while (!Is(Token::kEnd)) {
-      in_is_lets_ = false;
+  RuleFile File() {
+    while (!Is(TokenKind::kEnd)) {
+      in_let_value_ = false;
       try {
         Item();
-      } catch (const Stop&) {
-        Recover();
+      } catch (const ParseAbort&) {
+        SkipToNextItem();
       }
     }
     return std::move(file_);
   }
 
  private:
-  const Lexeme& Peek(std::size_t ahead = 0) const {
-    return tokens_[std::min(n_ + ahead, tokens_.size() - 1)];
+  const Token& Peek(std::size_t ahead = 0) const {
+    return tokens_[std::min(position_ + ahead, tokens_.size() - 1)];
   }
-  bool Is(Token token) const { return Peek().token == token; }
-  bool Word(const char* word) const { return Is(Token::kName) && Peek().text == word; }
-  bool Sign(const char* sign) const { return Is(Token::kSign) && Peek().text == sign; }
-  Lexeme Next() {
-    Lexeme t = Peek();
-    if (n_ + 1 < tokens_.size()) ++n_;
+  bool Is(TokenKind kind) const { return Peek().kind == kind; }
+  bool IsKeyword(const char* word) const { return Is(TokenKind::kName) && Peek().text == word; }
+  bool IsSymbol(const char* sign) const { return Is(TokenKind::kSymbol) && Peek().text == sign; }
+  Token Advance() {
+    Token t = Peek();
+    if (position_ + 1 < tokens_.size()) ++position_;
     return t;
   }
-  [[noreturn]] void Expected(const std::string& what) {
-    const Lexeme& t = Peek();
-    const std::string found = t.token == Token::kBad   ? t.text
-                              : t.token == Token::kEnd ? "the file ends"
-                              : t.token == Token::kString
+  [[noreturn]] void FailExpected(const std::string& what) {
+    const Token& t = Peek();
+    const std::string found = t.kind == TokenKind::kInvalid ? t.text
+                              : t.kind == TokenKind::kEnd   ? "the file ends"
+                              : t.kind == TokenKind::kString
                                   ? "there is a string"
                                   : "there is " + (t.text.empty() ? "a number" : t.text);
-    faults_.push_back({t.at, t.token == Token::kBad ? t.text : "expected " + what + ", but " + found});
-    throw Stop{};
+    diagnostics_.push_back(
+        {t.range, t.kind == TokenKind::kInvalid ? t.text : "expected " + what + ", but " + found});
+    throw ParseAbort{};
   }
-  bool Take(const char* sign) {
-    if (!Sign(sign)) return false;
-    Next();
+  bool Accept(const char* sign) {
+    if (!IsSymbol(sign)) return false;
+    Advance();
     return true;
   }
-  void Want(const char* sign) {
-    if (!Take(sign)) Expected(sign);
+  void Expect(const char* sign) {
+    if (!Accept(sign)) FailExpected(sign);
   }
-  void WantWord(const char* word) {
-    if (!Word(word)) Expected(word);
-    Next();
+  void ExpectKeyword(const char* word) {
+    if (!IsKeyword(word)) FailExpected(word);
+    Advance();
   }
-  std::string WantName(const char* what) {
-    if (!Is(Token::kName)) Expected(what);
-    return Next().text;
+  std::string ExpectName(const char* what) {
+    if (!Is(TokenKind::kName)) FailExpected(what);
+    return Advance().text;
   }
-  std::string WantString(const char* what) {
-    if (!Is(Token::kString)) Expected(what);
-    return Next().text;
+  std::string ExpectString(const char* what) {
+    if (!Is(TokenKind::kString)) FailExpected(what);
+    return Advance().text;
   }
-  std::int64_t WantNumber(Type type, const char* what) {
-    if (!Is(Token::kNumber) || Peek().type != type) Expected(what);
-    return Next().number;
+  std::int64_t ExpectNumber(Type type, const char* what) {
+    if (!Is(TokenKind::kNumber) || Peek().type != type) FailExpected(what);
+    return Advance().number;
   }
 
   // To the next item: guards against faults that only follow from the first.
-  void Recover() {
-    static const std::set<std::string> kItems = {"set", "map", "condition", "rate", "rule", "test"};
+  void SkipToNextItem() {
+    static const std::set<std::string> kItemKeywords = {"set", "map", "condition", "rate", "rule", "test"};
     int depth = 0;
-    while (!Is(Token::kEnd)) {
-      if (Sign("{")) ++depth;
-      if (Sign("}") && depth > 0) --depth;
-      Next();
-      const bool item = Is(Token::kName) && kItems.contains(Peek().text) &&
-                        (Peek(1).token == Token::kName || Peek(1).token == Token::kString) &&
-                        (Peek(2).token == Token::kSign &&
+    while (!Is(TokenKind::kEnd)) {
+      if (IsSymbol("{")) ++depth;
+      if (IsSymbol("}") && depth > 0) --depth;
+      Advance();
+      const bool item = Is(TokenKind::kName) && kItemKeywords.contains(Peek().text) &&
+                        (Peek(1).kind == TokenKind::kName || Peek(1).kind == TokenKind::kString) &&
+                        (Peek(2).kind == TokenKind::kSymbol &&
                          (Peek(2).text == "{" || Peek(2).text == "=" || Peek(2).text == ":"));
       if (item) return;
     }
   }
 
   void Item() {
-    const Place at = Peek().at;
+    const SourceRange at = Peek().range;
     file_.items.push_back(at.begin);
-    if (Word("set") || Word("map") || Word("condition")) {
-      const std::string what = Next().text;
-      const std::string name = WantName("a name");
-      Want("=");
+    if (IsKeyword("set") || IsKeyword("map") || IsKeyword("condition")) {
+      const std::string what = Advance().text;
+      const std::string name = ExpectName("a name");
+      Expect("=");
       auto value = what == "set" ? List() : what == "map" ? Map() : Expr();
       if (!file_.names.emplace(name, std::pair(std::move(value), at)).second)
-        faults_.push_back({at, name + " is there already"});
-    } else if (Word("rate")) {
-      Next();
-      RateText rate;
-      rate.at = at;
-      rate.name = WantName("a name");
-      Want(":");
-      const auto count = WantNumber(Type::kInt, "a number");
-      WantWord("per");
-      const auto time = WantNumber(Type::kDuration, "a duration such as 1s");
-      if (count <= 0 || time <= 0) faults_.push_back({at, "a rate is over 0"});
+        diagnostics_.push_back({at, name + " is there already"});
+    } else if (IsKeyword("rate")) {
+      Advance();
+      RateDecl rate;
+      rate.range = at;
+      rate.name = ExpectName("a name");
+      Expect(":");
+      const auto count = ExpectNumber(Type::kInt, "a number");
+      ExpectKeyword("per");
+      const auto time = ExpectNumber(Type::kDuration, "a duration such as 1s");
+      if (count <= 0 || time <= 0) diagnostics_.push_back({at, "a rate is over 0"});
       rate.per_s = time > 0 ? static_cast<double>(count) * 1e6 / static_cast<double>(time) : 1;
       rate.burst = static_cast<double>(count);
-      if (Word("burst")) {
-        Next();
-        rate.burst = static_cast<double>(WantNumber(Type::kInt, "a number"));
-        if (rate.burst < 1) faults_.push_back({at, "a burst is 1 at least"});
+      if (IsKeyword("burst")) {
+        Advance();
+        rate.burst = static_cast<double>(ExpectNumber(Type::kInt, "a number"));
+        if (rate.burst < 1) diagnostics_.push_back({at, "a burst is 1 at least"});
       }
       for (const auto& r : file_.rates) {
-        if (r.name == rate.name) faults_.push_back({at, "rate " + rate.name + " is there already"});
+        if (r.name == rate.name) diagnostics_.push_back({at, "rate " + rate.name + " is there already"});
       }
       file_.rates.push_back(std::move(rate));
-    } else if (Word("rule")) {
+    } else if (IsKeyword("rule")) {
       Rule(at);
-    } else if (Word("test")) {
+    } else if (IsKeyword("test")) {
       Test(at);
     } else {
-      Expected("set, map, condition, rate, rule or test");
+      FailExpected("set, map, condition, rate, rule or test");
     }
   }
 
-  void Rule(Place at) {
-    Next();
-    RuleText rule;
-    rule.at = Peek().at;
-    rule.at.begin = at.begin;
-    rule.name = WantName("the rule's name");
+  void Rule(SourceRange at) {
+    Advance();
+    RuleDecl rule;
+    rule.range = Peek().range;
+    rule.range.begin = at.begin;
+    rule.name = ExpectName("the rule's name");
     for (const auto& r : file_.rules) {
-      if (r.name == rule.name) faults_.push_back({rule.at, "rule " + rule.name + " is there already"});
+      if (r.name == rule.name)
+        diagnostics_.push_back({rule.range, "rule " + rule.name + " is there already"});
     }
-    Want("{");
-    while (!Take("}")) {
-      const Place place = Peek().at;
+    Expect("{");
+    while (!Accept("}")) {
+      const SourceRange place = Peek().range;
       file_.lines.push_back(place.begin);
-      const std::string setting = WantName("a setting or }");
+      const std::string setting = ExpectName("a setting or }");
       if (!rule.places.emplace(setting, place).second)
-        faults_.push_back({place, setting + " is there twice"});
+        diagnostics_.push_back({place, setting + " is there twice"});
       if (setting == "when") {
         rule.when = Expr();
       } else if (setting == "class") {
-        if (Sign("}")) Expected("the class, as a string");
+        if (IsSymbol("}")) FailExpected("the class, as a string");
         rule.job_class = Expr();
       } else if (setting == "key") {
         rule.key = Expr();
       } else if (setting == "tenant") {
         rule.tenant = Expr();
       } else if (setting == "priority") {
-        rule.priority = WantNumber(Type::kInt, "a whole number");
+        rule.priority = ExpectNumber(Type::kInt, "a whole number");
       } else if (setting == "repeats") {
-        rule.max_retries = WantNumber(Type::kInt, "a whole number");
+        rule.max_retries = ExpectNumber(Type::kInt, "a whole number");
       } else if (setting == "rate") {
-        rule.rate = WantName("a rate's name");
-        WantWord("by");
+        rule.rate = ExpectName("a rate's name");
+        ExpectKeyword("by");
         rule.rate_by = Expr();
       } else if (setting == "targets") {
-        const std::string by = WantName("zone, kind or label");
+        const std::string by = ExpectName("zone, kind or label");
         auto& to = by == "zone" ? rule.zone : by == "kind" ? rule.kind : rule.label;
         if (by != "zone" && by != "kind" && by != "label")
-          faults_.push_back({place, "targets are by zone, kind or label"});
-        to = WantString("its name, as a string");
+          diagnostics_.push_back({place, "targets are by zone, kind or label"});
+        to = ExpectString("its name, as a string");
         rule.places.erase("targets");  // may stand once for each
       } else if (setting == "refuse") {
-        rule.reject_reason = WantString("the reason, as a string");
+        rule.reject_reason = ExpectString("the reason, as a string");
       } else if (setting == "mark") {
         rule.mark = true;
       } else if (setting == "continue") {
-        rule.goes_on = true;
+        rule.continues = true;
       } else {
-        faults_.push_back({place, setting +
-                                      " is no setting; there are when class key tenant priority repeats rate "
-                                      "targets refuse mark continue"});
-        throw Stop{};
+        diagnostics_.push_back(
+            {place, setting + " is no setting; there are when class key tenant priority repeats rate "
+                              "targets refuse mark continue"});
+        throw ParseAbort{};
       }
     }
     file_.rules.push_back(std::move(rule));
   }
 
-  void Test(Place at) {
-    Next();
-    TestText test;
-    test.at = at;
-    test.name = WantString("the test's name, as a string");
-    Want("{");
-    while (!Take("}")) {
-      const Place place = Peek().at;
+  void Test(SourceRange at) {
+    Advance();
+    TestDecl test;
+    test.range = at;
+    test.name = ExpectString("the test's name, as a string");
+    Expect("{");
+    while (!Accept("}")) {
+      const SourceRange place = Peek().range;
       file_.lines.push_back(place.begin);
-      const std::string line = WantName("a line of the request, expect, or }");
+      const std::string line = ExpectName("a line of the request, expect, or }");
       if (line == "expect") {
-        const std::string what = WantName("rule, class, refuse, tenant, key or rate");
-        static const std::set<std::string> kKnown = {"rule", "class", "refuse", "tenant", "key", "rate"};
-        if (!kKnown.contains(what)) faults_.push_back({place, what + " is nothing that a rule gives"});
-        const bool name = Is(Token::kName);
-        test.expected[what] = {name ? Next().text : WantString("what is expected"), place};
+        const std::string what = ExpectName("rule, class, refuse, tenant, key or rate");
+        static const std::set<std::string> kExpectable = {"rule", "class", "refuse", "tenant", "key", "rate"};
+        if (!kExpectable.contains(what))
+          diagnostics_.push_back({place, what + " is nothing that a rule gives"});
+        const bool name = Is(TokenKind::kName);
+        test.expected[what] = {name ? Advance().text : ExpectString("what is expected"), place};
       } else if (line == "header" || line == "custom") {
-        std::string name = WantString("a name");
-        (line == "header" ? test.headers : test.custom).emplace_back(std::move(name), WantString("a value"));
+        std::string name = ExpectString("a name");
+        (line == "header" ? test.headers : test.custom)
+            .emplace_back(std::move(name), ExpectString("a value"));
       } else if (line == "body_bytes") {
-        test.body_bytes = Is(Token::kNumber) && Peek().type == Type::kInt
-                              ? Next().number
-                              : WantNumber(Type::kBytes, "a size");
+        test.body_bytes = Is(TokenKind::kNumber) && Peek().type == Type::kInt
+                              ? Advance().number
+                              : ExpectNumber(Type::kBytes, "a size");
       } else if (line == "deadline") {
-        test.deadline = WantNumber(Type::kDuration, "a duration");
+        test.deadline = ExpectNumber(Type::kDuration, "a duration");
       } else if (line == "repeat") {
         test.is_retry = true;
       } else {
@@ -221,221 +226,226 @@
                           : line == "peer"    ? &test.peer
                                               : nullptr;
         if (to == nullptr) {
-          faults_.push_back({place, line + " is no part of a request"});
-          throw Stop{};
+          diagnostics_.push_back({place, line + " is no part of a request"});
+          throw ParseAbort{};
         }
-        *to = WantString("its value, as a string");
+        *to = ExpectString("its value, as a string");
       }
     }
     file_.tests.push_back(std::move(test));
   }
 
   // ---- expressions
-  NodePtr Make(Form form, Place at, std::string text = {}) {
+  NodePtr Make(NodeKind kind, SourceRange at, std::string text = {}) {
     auto node = std::make_unique<Node>();
-    node->form = form;
-    node->at = at;
+    node->kind = kind;
+    node->range = at;
     node->text = std::move(text);
     return node;
   }
-  NodePtr Two(Form form, NodePtr a, NodePtr b, std::string text = {}) {
-    auto node = Make(form, {a->at.begin, b->at.end}, std::move(text));
-    node->kids.push_back(std::move(a));
-    node->kids.push_back(std::move(b));
+  NodePtr MakeBinary(NodeKind kind, NodePtr a, NodePtr b, std::string text = {}) {
+    auto node = Make(kind, {a->range.begin, b->range.end}, std::move(text));
+    node->children.push_back(std::move(a));
+    node->children.push_back(std::move(b));
     return node;
   }
-  struct Deeper {
-    explicit Deeper(Parser& p) : parser(p) {
-      if (++parser.depth_ <= kDeepest) return;
-      parser.faults_.push_back({parser.Peek().at, "nested more than " + std::to_string(kDeepest) + " deep"});
+  struct DepthGuard {
+    explicit DepthGuard(Parser& p) : parser(p) {
+      if (++parser.depth_ <= kMaxNestingDepth) return;
+      parser.diagnostics_.push_back(
+          {parser.Peek().range, "nested more than " + std::to_string(kMaxNestingDepth) + " deep"});
       --parser.depth_;
-      throw Stop{};
+      throw ParseAbort{};
     }
-    ~Deeper() { --parser.depth_; }
+    ~DepthGuard() { --parser.depth_; }
     Parser& parser;
   };
 
   NodePtr Expr() {
-    const Deeper deeper(*this);
-    if (!Word("let")) return Or();
-    const Place at = Next().at;
-    const std::string name = WantName("a name");
-    Want("=");
-    const bool outer = std::exchange(in_is_lets_, true);
+    const DepthGuard guard(*this);
+    if (!IsKeyword("let")) return Or();
+    const SourceRange at = Advance().range;
+    const std::string name = ExpectName("a name");
+    Expect("=");
+    const bool outer = std::exchange(in_let_value_, true);
     auto value = Or();
-    in_is_lets_ = outer;
-    WantWord("in");
-    auto node = Two(Form::kLet, std::move(value), Expr(), name);
-    node->at.begin = at.begin;
+    in_let_value_ = outer;
+    ExpectKeyword("in");
+    auto node = MakeBinary(NodeKind::kLet, std::move(value), Expr(), name);
+    node->range.begin = at.begin;
     return node;
   }
   NodePtr Or() {
     auto a = And();
-    while (Word("or")) {
-      Next();
-      a = Two(Form::kOr, std::move(a), And());
+    while (IsKeyword("or")) {
+      Advance();
+      a = MakeBinary(NodeKind::kOr, std::move(a), And());
     }
     return a;
   }
   NodePtr And() {
     auto a = Not();
-    while (Word("and")) {
-      Next();
-      a = Two(Form::kAnd, std::move(a), Not());
+    while (IsKeyword("and")) {
+      Advance();
+      a = MakeBinary(NodeKind::kAnd, std::move(a), Not());
     }
     return a;
   }
   NodePtr Not() {
-    if (!Word("not")) return Relation();
-    const Deeper deeper(*this);
-    auto node = Make(Form::kNot, Next().at);
-    node->kids.push_back(Not());
-    node->at.end = node->kids[0]->at.end;
+    if (!IsKeyword("not")) return Relation();
+    const DepthGuard guard(*this);
+    auto node = Make(NodeKind::kNot, Advance().range);
+    node->children.push_back(Not());
+    node->range.end = node->children[0]->range.end;
     return node;
   }
   NodePtr Relation() {
     auto a = Sum();
     for (const char* sign : {"==", "!=", "<=", ">=", "<", ">"}) {
-      if (Take(sign)) return Two(Form::kCompare, std::move(a), Sum(), sign);
+      if (Accept(sign)) return MakeBinary(NodeKind::kCompare, std::move(a), Sum(), sign);
     }
-    if (Word("is")) {
-      Next();
-      WantWord("present");
-      auto node = Make(Form::kPresent, a->at);
-      node->kids.push_back(std::move(a));
+    if (IsKeyword("is")) {
+      Advance();
+      ExpectKeyword("present");
+      auto node = Make(NodeKind::kPresent, a->range);
+      node->children.push_back(std::move(a));
       return node;
     }
     // `let x = a in b`: an `in` behind the value of a let is the let's own, so a membership there wants
     // brackets.
-    if (!Word("in") || in_is_lets_) return a;
-    Next();
-    return Two(Form::kIn, std::move(a), Set());
+    if (!IsKeyword("in") || in_let_value_) return a;
+    Advance();
+    return MakeBinary(NodeKind::kIn, std::move(a), Set());
   }
   NodePtr Set() {
-    if (Sign("[")) return List();
-    if (Is(Token::kNetwork)) return Primary();
-    if (Is(Token::kName)) return Make(Form::kName, Peek().at, Next().text);
+    if (IsSymbol("[")) return List();
+    if (Is(TokenKind::kNetwork)) return Primary();
+    if (Is(TokenKind::kName)) return Make(NodeKind::kName, Peek().range, Advance().text);
     auto from = Primary();
-    Want("..");
-    return Two(Form::kRange, std::move(from), Primary());
+    Expect("..");
+    return MakeBinary(NodeKind::kRange, std::move(from), Primary());
   }
   NodePtr List() {
-    auto list = Make(Form::kList, Peek().at);
-    Want("[");
-    while (!Sign("]")) {
-      if (!Is(Token::kString) && !Is(Token::kNumber) && !Is(Token::kNetwork)) Expected("a literal or ]");
-      list->kids.push_back(Primary());
-      if (!Sign("]")) Want(",");
+    auto list = Make(NodeKind::kList, Peek().range);
+    Expect("[");
+    while (!IsSymbol("]")) {
+      if (!Is(TokenKind::kString) && !Is(TokenKind::kNumber) && !Is(TokenKind::kNetwork))
+        FailExpected("a literal or ]");
+      list->children.push_back(Primary());
+      if (!IsSymbol("]")) Expect(",");
     }
-    list->at.end = Next().at.end;
+    list->range.end = Advance().range.end;
     return list;
   }
   NodePtr Map() {
-    auto map = Make(Form::kMap, Peek().at);
-    Want("{");
-    while (!Sign("}")) {
+    auto map = Make(NodeKind::kMap, Peek().range);
+    Expect("{");
+    while (!IsSymbol("}")) {
       for (const char* sign : {":", ","}) {
-        if (!Is(Token::kString) && !Is(Token::kNumber)) Expected("a literal or }");
-        map->kids.push_back(Primary());
-        if (*sign == ':' || !Sign("}")) Want(sign);
+        if (!Is(TokenKind::kString) && !Is(TokenKind::kNumber)) FailExpected("a literal or }");
+        map->children.push_back(Primary());
+        if (*sign == ':' || !IsSymbol("}")) Expect(sign);
       }
     }
-    map->at.end = Next().at.end;
+    map->range.end = Advance().range.end;
     return map;
   }
   NodePtr Sum() {
     auto a = Term();
-    while (Sign("+") || Sign("-")) {
-      const std::string sign = Next().text;
-      a = Two(Form::kAdd, std::move(a), Term(), sign);
+    while (IsSymbol("+") || IsSymbol("-")) {
+      const std::string sign = Advance().text;
+      a = MakeBinary(NodeKind::kAdd, std::move(a), Term(), sign);
     }
     return a;
   }
   NodePtr Term() {
     auto a = Unary();
-    while (Take("*")) a = Two(Form::kAdd, std::move(a), Unary(), "*");
+    while (Accept("*")) a = MakeBinary(NodeKind::kAdd, std::move(a), Unary(), "*");
     return a;
   }
   NodePtr Unary() {
-    if (!Sign("-")) return Else();
-    const Deeper deeper(*this);
-    auto node = Make(Form::kNegate, Next().at);
-    node->kids.push_back(Unary());
+    if (!IsSymbol("-")) return OrElse();
+    const DepthGuard guard(*this);
+    auto node = Make(NodeKind::kNegate, Advance().range);
+    node->children.push_back(Unary());
     return node;
   }
-  NodePtr Else() {
+  NodePtr OrElse() {
     auto a = Primary();
-    while (Word("or_else")) {
-      Next();
-      a = Two(Form::kOrElse, std::move(a), Primary());
+    while (IsKeyword("or_else")) {
+      Advance();
+      a = MakeBinary(NodeKind::kOrElse, std::move(a), Primary());
     }
     return a;
   }
   NodePtr Primary() {
-    if (Take("(")) {
-      const bool outer = std::exchange(in_is_lets_, false);
+    if (Accept("(")) {
+      const bool outer = std::exchange(in_let_value_, false);
       auto inner = Expr();
-      in_is_lets_ = outer;
-      Want(")");
+      in_let_value_ = outer;
+      Expect(")");
       return inner;
     }
-    const Lexeme& t = Peek();
-    if (t.token == Token::kString) {
-      auto node = Make(Form::kLiteral, t.at, t.text);
+    const Token& t = Peek();
+    if (t.kind == TokenKind::kString) {
+      auto node = Make(NodeKind::kLiteral, t.range, t.text);
       node->type.type = Type::kString;
       node->value.text = node->text;
-      Next();
+      Advance();
       return node;
     }
-    if (t.token == Token::kNumber) {
-      auto node = Make(Form::kLiteral, t.at);
+    if (t.kind == TokenKind::kNumber) {
+      auto node = Make(NodeKind::kLiteral, t.range);
       node->type.type = t.type;
       node->value.number = t.number;
-      Next();
+      Advance();
       return node;
     }
-    if (t.token == Token::kNetwork) {
-      auto node = Make(Form::kNetwork, t.at);
+    if (t.kind == TokenKind::kNetwork) {
+      auto node = Make(NodeKind::kNetwork, t.range);
       node->type.type = Type::kAddress;
       node->value.address = t.address;
       node->bits = t.bits;
-      Next();
+      Advance();
       return node;
     }
-    if (t.token != Token::kName) Expected("an expression");
+    if (t.kind != TokenKind::kName) FailExpected("an expression");
     if (t.text == "true" || t.text == "false") {
-      auto node = Make(Form::kLiteral, t.at);
+      auto node = Make(NodeKind::kLiteral, t.range);
       node->type.type = Type::kBool;
       node->value.number = t.text == "true" ? 1 : 0;
-      Next();
+      Advance();
       return node;
     }
-    static const std::set<std::string> kWords = {"and", "or", "not", "in", "is", "let", "or_else", "present"};
-    if (kWords.contains(t.text)) Expected("an expression");
-    auto node = Make(Form::kName, t.at, t.text);
-    Next();
-    if (!Take("(")) return node;
-    node->form = Form::kCall;
-    const bool outer = std::exchange(in_is_lets_, false);
-    while (!Sign(")")) {
-      node->kids.push_back(Expr());
-      if (!Sign(")")) Want(",");
+    static const std::set<std::string> kReserved = {"and", "or",  "not",     "in",
+                                                    "is",  "let", "or_else", "present"};
+    if (kReserved.contains(t.text)) FailExpected("an expression");
+    auto node = Make(NodeKind::kName, t.range, t.text);
+    Advance();
+    if (!Accept("(")) return node;
+    node->kind = NodeKind::kCall;
+    const bool outer = std::exchange(in_let_value_, false);
+    while (!IsSymbol(")")) {
+      node->children.push_back(Expr());
+      if (!IsSymbol(")")) Expect(",");
     }
-    in_is_lets_ = outer;
-    node->at.end = Next().at.end;
+    in_let_value_ = outer;
+    node->range.end = Advance().range.end;
     return node;
   }
 
-  std::vector<Lexeme> tokens_;
-  std::vector<Fault>& faults_;
-  std::size_t n_ = 0;
+  std::vector<Token> tokens_;
+  std::vector<Diagnostic>& diagnostics_;
+  std::size_t position_ = 0;
   int depth_ = 0;
-  bool in_is_lets_ = false;
-  FileText file_;
+  bool in_let_value_ = false;
+  RuleFile file_;
 };
 
 }  // namespace
 
-FileText Parse(std::string_view text, std::vector<Fault>& faults) { return Parser(text, faults).File(); }
+RuleFile Parse(std::string_view text, std::vector<Diagnostic>& diagnostics) {
+  return Parser(text, diagnostics).File();
+}
 
 }  // namespace heronway::match
--- a/src/match/parser.h
+++ b/src/match/parser.h
@@ -19,7 +19,7 @@
 namespace heronway::match {
 
 // Appends what is wrong; the tree holds what could be read.
-FileText Parse(std::string_view text, std::vector<Fault>& faults);
+RuleFile Parse(std::string_view text, std::vector<Diagnostic>& diagnostics);
 
 }  // namespace heronway::match
 
--- a/src/match/regex.h
+++ b/src/match/regex.h
@@ -1,5 +1,5 @@
-// How the language reads its regular expressions, in one place: what the checker lets through the compiler
-// takes.
+// The regular expression options, shared by the checker and the compiler, so that every expression that
+// passes the checker also compiles.
 #ifndef HERONWAY_MATCH_REGEX_H_
 #define HERONWAY_MATCH_REGEX_H_
 
@@ -12,7 +12,7 @@
 
 namespace heronway::match {
 
-// Bytes, not UTF-8: what a header holds need not be. Memory is bounded.
+// Latin-1 rather than UTF-8, as header values may be any bytes. Memory is bounded.
 inline RE2::Options RegexOptions(std::int64_t most_memory = 1 << 20) {
   RE2::Options options;
   options.set_log_errors(false);
@@ -22,15 +22,15 @@
   return options;
 }
 
-// The expressions that are tried on one field. From `kSetAt` of them on they are gathered in sets: one for
-// all, and one for each `kBlock`, so that a text that none fits is passed over once. A set is asked only
-// whether any fits: to ask which would allocate.
+// The expressions that are run on one field. From kMinSetSize on they are combined into sets, one of all and
+// one of each kBlockSize, so that a text that matches none is scanned once. A set only reports whether any
+// member matches; to ask which would allocate.
 struct RegexGroup {
-  static constexpr std::size_t kSetAt = 4, kBlock = 16;
+  static constexpr std::size_t kMinSetSize = 4, kBlockSize = 16;
   std::uint32_t field = 0;
-  std::vector<std::uint32_t> members;           // expressions, each with its place in the group
-  std::vector<std::string> patterns;            // as a set takes them
-  std::vector<std::unique_ptr<RE2::Set>> sets;  // the first is of all, the others of blocks; none: too few
+  std::vector<std::uint32_t> members;           // indices of the expressions, by position in the group
+  std::vector<std::string> patterns;            // in the syntax of RE2::Set
+  std::vector<std::unique_ptr<RE2::Set>> sets;  // all members, then one per block; may be empty
 };
 
 }  // namespace heronway::match
--- a/src/match/rules.cpp
+++ b/src/match/rules.cpp
@@ -21,32 +21,32 @@
 }  // namespace
 
 Rules::Rules(const std::string& name, std::string_view text, const Limits& limits) {
-  std::vector<Fault> faults;
-  const auto judge = [&] {
-    if (faults.empty()) return;
-    std::stable_sort(faults.begin(), faults.end(),
-                     [](const Fault& a, const Fault& b) { return a.at.begin < b.at.begin; });
-    throw RuleError(name, text, faults);
+  std::vector<Diagnostic> diagnostics;
+  const auto throw_if_any = [&] {
+    if (diagnostics.empty()) return;
+    std::stable_sort(diagnostics.begin(), diagnostics.end(),
+                     [](const Diagnostic& a, const Diagnostic& b) { return a.range.begin < b.range.begin; });
+    throw RuleError(name, text, diagnostics);
   };
-  if (text.size() > kMaxFileBytes) faults.push_back({{0, 1}, "the file is over 16 MiB"});
-  judge();
-  file_ = Parse(text, faults);
-  if (faults.empty()) Check(file_, faults);
-  judge();
+  if (text.size() > kMaxFileBytes) diagnostics.push_back({{0, 1}, "the file is over 16 MiB"});
+  throw_if_any();
+  file_ = Parse(text, diagnostics);
+  if (diagnostics.empty()) Check(file_, diagnostics);
+  throw_if_any();
   CompileAll(file_);
-  CheckCost(limits, faults);
-  judge();
-  machine_ = std::make_unique<Machine>(program_);
-  RunTests(file_, faults);
-  judge();
+  CheckCost(limits, diagnostics);
+  throw_if_any();
+  machine_ = std::make_unique<VirtualMachine>(program_);
+  RunTests(file_, diagnostics);
+  throw_if_any();
 }
 
 Rules::~Rules() = default;
 
-void Rules::CompileAll(FileText& file) {
+void Rules::CompileAll(RuleFile& file) {
   Compiler compiler(program_);
-  for (const RateText& r : file.rates) rates_.push_back({r.name, r.per_s, r.burst});
-  for (RuleText& text : file.rules) {
+  for (const RateDecl& r : file.rates) rates_.push_back({r.name, r.per_s, r.burst});
+  for (RuleDecl& text : file.rules) {
     Rule rule;
     if (text.when) rule.when = compiler.Compile(*text.when);
     if (text.job_class) rule.job_class = compiler.Compile(*text.job_class);
@@ -61,57 +61,58 @@
   }
   Index();
   if (const Node* field = dispatch_.field())
-    indexed_ = static_cast<int>(compiler.Compile(*field)[0].a);  // a field is one step
+    index_field_ = static_cast<int>(compiler.Compile(*field)[0].a);  // a field compiles to one instruction
   compiler.Finish();
   for (Rule& rule : rules_) {
     rule.cost.fixed = 10;
-    for (const Steps* steps : {&rule.when, &rule.job_class, &rule.key, &rule.tenant, &rule.rate_by})
-      rule.cost += CostOf(program_, *steps);
+    for (const Bytecode* code : {&rule.when, &rule.job_class, &rule.key, &rule.tenant, &rule.rate_by})
+      rule.cost += CostOf(program_, *code);
   }
 }
 
-// The field that most rules need a value of becomes the index.
+// Chooses the field that most rules constrain and indexes the rules by it.
 void Rules::Index() {
   std::vector<const Node*> conditions;
   for (const Rule& rule : rules_) conditions.push_back(rule.text.when.get());
   dispatch_.Build(conditions);
 }
 
-void Rules::CheckCost(const Limits& limits, std::vector<Fault>& faults) {
-  Cost always = CostOfAll(program_);
-  for (const std::uint32_t i : dispatch_.others()) always += rules_[i].cost;
-  worst_ = always.Worst();
-  for (const Dispatch::List* rules : dispatch_.Lists()) {
+void Rules::CheckCost(const Limits& limits, std::vector<Diagnostic>& diagnostics) {
+  Cost always = SharedCost(program_);
+  for (const std::uint32_t i : dispatch_.unindexed()) always += rules_[i].cost;
+  worst_cost_ns_ = always.WorstCaseNs();
+  for (const Dispatch::List* rules : dispatch_.AllLists()) {
     Cost found = always;
     for (const std::uint32_t i : *rules) found += rules_[i].cost;
-    worst_ = std::max(worst_, found.Worst());
+    worst_cost_ns_ = std::max(worst_cost_ns_, found.WorstCaseNs());
   }
-  worst_ += dispatch_.worst_cost_ns();
-  const auto costly = std::max_element(rules_.begin(), rules_.end(), [](const Rule& a, const Rule& b) {
-    return a.cost.Worst() < b.cost.Worst();
+  worst_cost_ns_ += dispatch_.worst_cost_ns();
+  const auto costliest = std::max_element(rules_.begin(), rules_.end(), [](const Rule& a, const Rule& b) {
+    return a.cost.WorstCaseNs() < b.cost.WorstCaseNs();
   });
   const auto whole = [](double ns) { return std::to_string(static_cast<long long>(ns)); };
   if (program_.scratch > (1 << 20))
-    faults.push_back(
-        {costly->text.at, "lower() is used too often: " + std::to_string(program_.scratch / kMaxHeadBytes) +
-                              " times, 64 at most"});
-  if (worst_ <= limits.budget_ns || costly == rules_.end()) return;
-  faults.push_back({costly->text.at, "a request may cost " + whole(worst_) +
-                                         " ns with these rules, over the budget of " +
-                                         whole(limits.budget_ns) + "; rule " + costly->text.name +
-                                         " costs most: " + whole(costly->cost.Worst()) + " ns"});
+    diagnostics.push_back({costliest->text.range,
+                           "lower() is used too often: " + std::to_string(program_.scratch / kMaxHeadBytes) +
+                               " times, 64 at most"});
+  if (worst_cost_ns_ <= limits.budget_ns || costliest == rules_.end()) return;
+  diagnostics.push_back(
+      {costliest->text.range, "a request may cost " + whole(worst_cost_ns_) +
+                                  " ns with these rules, over the budget of " + whole(limits.budget_ns) +
+                                  "; rule " + costliest->text.name +
+                                  " costs most: " + whole(costliest->cost.WorstCaseNs()) + " ns"});
 }
 
 const MatchResult& Rules::Match(const Request& request) {
   verdict_ = MatchResult{};
   machine_->Begin(request);
   const Dispatch::List* found = nullptr;
-  const Dispatch::List& always = dispatch_.others();
-  if (indexed_ >= 0) {
-    const Value value = machine_->Field(static_cast<std::uint32_t>(indexed_));
+  const Dispatch::List& always = dispatch_.unindexed();
+  if (index_field_ >= 0) {
+    const Value value = machine_->Field(static_cast<std::uint32_t>(index_field_));
     if (value.present) found = dispatch_.Find(value.text);
   }
-  // Both lists in one order.
+  // Merges both lists in rule order.
   std::size_t a = 0, b = 0;
   const std::size_t more = found != nullptr ? found->size() : 0;
   while (a < always.size() || b < more) {
@@ -121,7 +122,7 @@
   return verdict_;
 }
 
-// True where the search ends with this rule.
+// Returns true if this rule ends the search.
 bool Rules::Apply(std::uint32_t i) {
   Rule& rule = rules_[i];
   if (!rule.when.empty() && machine_->Run(rule.when).number == 0) return false;
@@ -132,7 +133,7 @@
   } else {
     v.matched.back() = i;
   }
-  const RuleText& t = rule.text;
+  const RuleDecl& t = rule.text;
   const auto set = [](const std::string*& to, const std::optional<std::string>& from) {
     if (to == nullptr && from) to = &*from;
   };
@@ -160,11 +161,11 @@
   if (!v.priority && t.priority) v.priority = static_cast<int>(*t.priority);
   if (!v.max_retries && t.max_retries) v.max_retries = static_cast<int>(*t.max_retries);
   v.mark = v.mark || t.mark;
-  return !t.goes_on;
+  return !t.continues;
 }
 
-void Rules::RunTests(const FileText& file, std::vector<Fault>& faults) {
-  for (const TestText& test : file.tests) {
+void Rules::RunTests(const RuleFile& file, std::vector<Diagnostic>& diagnostics) {
+  for (const TestDecl& test : file.tests) {
     Request r;
     r.front = test.front;
     r.path = test.path;
@@ -177,7 +178,7 @@
     r.deadline = test.deadline;
     r.is_retry = test.is_retry;
     if (!ParseAddress(test.peer, r.peer)) {
-      faults.push_back({test.at, "test \"" + test.name + "\": peer " + test.peer + " is no address"});
+      diagnostics.push_back({test.range, "test \"" + test.name + "\": peer " + test.peer + " is no address"});
       continue;
     }
     const MatchResult& v = Match(r);
@@ -190,8 +191,8 @@
                                   ? (v.key ? Hex(*v.key) : "none")
                                   : (v.rate >= 0 ? rates_[static_cast<std::size_t>(v.rate)].name : "none");
       if (got != wanted.first)
-        faults.push_back({wanted.second, "test \"" + test.name + "\" expects " + what + " " + wanted.first +
-                                             ", but it is " + got});
+        diagnostics.push_back({wanted.second, "test \"" + test.name + "\" expects " + what + " " +
+                                                  wanted.first + ", but it is " + got});
     }
   }
   for (Rule& rule : rules_) rule.hits = 0;
@@ -201,9 +202,9 @@
   std::ostringstream out;
   out << rules_.size() << " rules, " << program_.fields.size() << " fields, " << program_.conditions.size()
       << " conditions, " << program_.regexes.size() << " regular expressions; at worst "
-      << static_cast<long long>(worst_) << " ns a request\n";
-  if (indexed_ >= 0) {
-    const FieldRef& f = program_.fields[static_cast<std::size_t>(indexed_)];
+      << static_cast<long long>(worst_cost_ns_) << " ns a request\n";
+  if (index_field_ >= 0) {
+    const FieldRef& f = program_.fields[static_cast<std::size_t>(index_field_)];
     out << "found by ";
     using K = FieldRef::Kind;
     if (f.kind == K::kSegment) {
@@ -220,13 +221,13 @@
                                       : "queue");
     }
     out << ": " << dispatch_.texts() << " texts, " << dispatch_.prefixes()
-        << " prefixes; tried always: " << dispatch_.others().size() << " rules\n";
+        << " prefixes; tried always: " << dispatch_.unindexed().size() << " rules\n";
   }
   for (const Rule& r : rules_) {
     const std::size_t steps =
         r.when.size() + r.job_class.size() + r.key.size() + r.tenant.size() + r.rate_by.size();
     out << "  " << r.text.name << ": " << steps << " steps, at worst "
-        << static_cast<long long>(r.cost.Worst()) << " ns\n";
+        << static_cast<long long>(r.cost.WorstCaseNs()) << " ns\n";
   }
   return out.str();
 }
@@ -259,8 +260,8 @@
     const bool holds = rules_[i].when.empty() || machine_->Run(rules_[i].when).number != 0;
     if (holds)
       out << "  rule " << NameOf(i) << " matches"
-          << (rules_[i].text.goes_on ? ", and the search goes on\n" : "\n");
-    if (holds && !rules_[i].text.goes_on) break;
+          << (rules_[i].text.continues ? ", and the search goes on\n" : "\n");
+    if (holds && !rules_[i].text.continues) break;
   }
   const MatchResult& v = Match(request);
   const auto say = [&out](const char* what, const std::string* value) {
--- a/src/match/service.cpp
+++ b/src/match/service.cpp
@@ -7,40 +7,41 @@
 namespace heronway::match {
 namespace {
 
-constexpr std::size_t kRatePlaces = 16'384;
+constexpr std::size_t kRateSlots = 16'384;
 constexpr std::size_t kMaxGroups = 64;
 
 }  // namespace
 
 Service::Service(const std::string& name, std::string_view text, const Limits& limits, Site site,
                  std::uint64_t seed)
-    : limits_(limits), site_(std::move(site)), rates_(kRatePlaces, seed) {
+    : limits_(limits), site_(std::move(site)), rates_(kRateSlots, seed) {
   Replace(name, text);
 }
 
 bool Service::Replace(const std::string& name, std::string_view text) {
   auto rules = std::make_unique<Rules>(name, text, limits_);
-  std::vector<Fault> faults;
-  const std::function<void(const Node&)> known = [&](const Node& n) {
-    if (n.form == Form::kOrElse || n.form == Form::kMap) {
-      for (std::size_t i = n.form == Form::kMap ? 1 : 0; i < n.kids.size(); i += n.form == Form::kMap ? 2 : 1)
-        known(*n.kids[i]);
-    } else if (n.form == Form::kCall) {
-      known(*n.kids[0]->stands_for);
+  std::vector<Diagnostic> diagnostics;
+  const std::function<void(const Node&)> check_classes = [&](const Node& n) {
+    if (n.kind == NodeKind::kOrElse || n.kind == NodeKind::kMap) {
+      for (std::size_t i = n.kind == NodeKind::kMap ? 1 : 0; i < n.children.size();
+           i += n.kind == NodeKind::kMap ? 2 : 1)
+        check_classes(*n.children[i]);
+    } else if (n.kind == NodeKind::kCall) {
+      check_classes(*n.children[0]->resolved);
     } else if (ClassOf(n.text) < 0) {
-      faults.push_back({n.at, "class " + n.text + " is none of the site's"});
+      diagnostics.push_back({n.range, "class " + n.text + " is none of the site's"});
     }
   };
   for (std::uint32_t i = 0; i < rules->size(); ++i) {
-    if (const RuleText& rule = rules->TextOf(i); rule.job_class) known(*rule.job_class);
+    if (const RuleDecl& rule = rules->DeclOf(i); rule.job_class) check_classes(*rule.job_class);
   }
   std::vector<Group> groups = groups_;
   for (std::uint32_t i = 0; i < rules->size(); ++i) {
-    const RuleText& rule = rules->TextOf(i);
-    const auto need = [&](char by, const std::optional<std::string>& named,
-                          const std::vector<std::string>* all) {
+    const RuleDecl& rule = rules->DeclOf(i);
+    const auto add_group = [&](char by, const std::optional<std::string>& named,
+                               const std::vector<std::string>* all) {
       if (!named) return;
-      const auto fault = [&](const std::string& what) { faults.push_back({rule.at, what}); };
+      const auto fault = [&](const std::string& what) { diagnostics.push_back({rule.range, what}); };
       if (all != nullptr && std::find(all->begin(), all->end(), *named) == all->end())
         return fault((by == 'z' ? "zone " : "kind ") + *named + " is none of the site's");
       const Group group{by, *named};
@@ -50,11 +51,11 @@
                      " zones, kinds and labels of targets since the start");
       groups.push_back(group);
     };
-    need('z', rule.zone, &site_.zones);
-    need('k', rule.kind, &site_.kinds);
-    need('l', rule.label, nullptr);
+    add_group('z', rule.zone, &site_.zones);
+    add_group('k', rule.kind, &site_.kinds);
+    add_group('l', rule.label, nullptr);
   }
-  if (!faults.empty()) throw RuleError(name, text, std::move(faults));
+  if (!diagnostics.empty()) throw RuleError(name, text, std::move(diagnostics));
   rules_ = std::move(rules);
   const bool grown = groups.size() > groups_.size();
   groups_ = std::move(groups);
--- a/src/match/service.h
+++ b/src/match/service.h
@@ -1,5 +1,5 @@
-// The rules in service: what both fronts ask for each request. Holds the rules in force, takes new ones
-// whole or not at all, and keeps their rates. No I/O, no clock.
+// Evaluates the active rules for each request of both fronts. A new rule file replaces the old one as a
+// whole or is rejected as a whole. Keeps the state of the rate limits. No I/O and no clock.
 #ifndef HERONWAY_MATCH_SERVICE_H_
 #define HERONWAY_MATCH_SERVICE_H_
 
@@ -16,34 +16,37 @@
 class Service {
  public:
   using Micros = limits::Micros;
-  // `classes`: those that the site has, in its order. Throws RuleError where a rule names another.
+  // The classes, zones and kinds that the configuration defines; a class is numbered by its position. The
+  // constructor throws RuleError where a rule names any other.
   struct Site {
     std::vector<std::string> classes, zones, kinds;
   };
   Service(const std::string& name, std::string_view text, const Limits& limits, Site site,
           std::uint64_t seed);
 
+  // What the rules decide about one request. Unset members mean the defaults that hold without rules.
   struct Decision {
-    int job_class = -1;  // -1: as without rules, like all that is not set
+    int job_class = -1;  // -1: not set
     std::optional<std::uint64_t> key;
     std::optional<int> max_retries;
     int priority = 0;
-    std::uint64_t required_groups = 0;           // groups of targets, as GroupsOf numbers them
-    std::optional<std::string_view> tenant;      // good until the next request is judged
-    const std::string* reject_reason = nullptr;  // the reason; good until the rules change
-    const std::string* exceeded_rate =
-        nullptr;  // over this rate: refused, and may come back after `retry_after`
-    Micros retry_after = 0;
-    const std::string* marked_by_rule = nullptr;  // the rule, where it says `mark`
+    std::uint64_t required_groups = 0;            // bits as in GroupsOf(); a target must have all
+    std::optional<std::string_view> tenant;       // valid until the next Evaluate()
+    const std::string* reject_reason = nullptr;   // valid until Replace()
+    const std::string* exceeded_rate = nullptr;   // the rate that is exceeded; else null
+    Micros retry_after = 0;                       // until the rate admits a request
+    const std::string* marked_by_rule = nullptr;  // last matching rule where one has `mark`
   };
-  // `again`: the request was judged when it came, and spends nothing of its rate.
+  // `again`: the request was evaluated on arrival; this call does not count against its rate.
   Decision Evaluate(Micros now, const Request& request, bool again = false);
 
-  // The new rules are in force from the next request on. Throws RuleError, and all is as before. True where
-  // they name groups of targets that no rules named before: each target must be told its groups anew.
+  // Activates new rules from the next request on. Throws RuleError and keeps the old rules if they are
+  // invalid. Returns true if they name target groups for the first time: GroupsOf() must then be called
+  // again for each target.
   bool Replace(const std::string& name, std::string_view text);
-  // The groups that the rules name and a target with these belongs to, a bit each. A group keeps its bit
-  // for good, so that requests under way still mean the same; there are 64 at most until the next start.
+  // The target groups (zones, kinds and labels that rules have named) that a target belongs to, one bit
+  // each. A group keeps its bit until the process exits, so that the masks of requests in progress stay
+  // valid; there are at most 64 groups per process.
   std::uint64_t GroupsOf(std::string_view zone, std::string_view kind,
                          const std::vector<std::string>& labels) const;
   const Rules& rules() const { return *rules_; }
@@ -58,7 +61,7 @@
 
   Limits limits_;
   Site site_;
-  std::vector<Group> groups_;  // by bit
+  std::vector<Group> groups_;  // index: bit number
   std::unique_ptr<Rules> rules_;
   limits::RateLimits rates_;
 };
--- a/src/match/source.h
+++ b/src/match/source.h
@@ -10,23 +10,23 @@
 
 namespace heronway::match {
 
-struct Place {
+struct SourceRange {
   std::size_t begin = 0, end = 0;  // bytes of the file
 };
 
-struct Fault {
-  Place at;
-  std::string what;
+struct Diagnostic {
+  SourceRange range;
+  std::string message;
 };
 
 // Several faults of one file; what() is the text for people: file:line:column, the line, a caret.
 class RuleError : public std::runtime_error {
  public:
-  RuleError(const std::string& file, std::string_view text, std::vector<Fault> faults);
-  const std::vector<Fault>& faults() const { return faults_; }
+  RuleError(const std::string& file, std::string_view text, std::vector<Diagnostic> diagnostics);
+  const std::vector<Diagnostic>& diagnostics() const { return diagnostics_; }
 
  private:
-  std::vector<Fault> faults_;
+  std::vector<Diagnostic> diagnostics_;
 };
 
 struct LineColumn {
--- a/src/match/value.h
+++ b/src/match/value.h
@@ -1,4 +1,4 @@
-// The types and values of the matching language, and what a front fills in of a request.
+// The types and values of the rule language, and the request as the rules see it.
 #ifndef HERONWAY_MATCH_VALUE_H_
 #define HERONWAY_MATCH_VALUE_H_
 
@@ -14,22 +14,23 @@
 enum class Type : std::uint8_t { kBool, kInt, kDuration, kBytes, kString, kAddress, kKey };
 const char* NameOf(Type type);
 
-// A type as the checker sees it: what may be missing is another type than what is always there.
-struct TypeOf {
+// A type as the checker sees it; a value that may be missing (an option) has its own type.
+struct ValueType {
   Type type = Type::kBool;
   bool option = false;
-  bool operator==(const TypeOf&) const = default;
+  bool operator==(const ValueType&) const = default;
 };
-std::string NameOf(TypeOf type);
+std::string NameOf(ValueType type);
 
 // 16 bytes; IPv4 as ::ffff:a.b.c.d.
 using AddressBytes = std::array<std::uint8_t, 16>;
-// From the four bytes of an IPv4 address, in the network's order, as `in_addr` holds them.
+// Converts the four bytes of an IPv4 address in network byte order, as in `in_addr`.
 AddressBytes MappedIpv4(const void* four);
-// From a text of either kind. False where it is no address.
+// Parses an IPv4 or IPv6 address. Returns false if the text is neither.
 bool ParseAddress(const std::string& text, AddressBytes& out);
 
-// A value in a run: plain, points into the request, the program or the run's scratch, owns nothing.
+// A run-time value. Does not own its text, which is in the request, the program or the machine's scratch
+// buffer.
 struct Value {
   bool present = true;
   std::int64_t number = 0;  // bool, int, microseconds, bytes, or a key's bits
@@ -37,23 +38,23 @@
   AddressBytes address{};
 };
 
-// A request as the language sees it. A front fills in what its wire has, without copying; the rest is
+// A request as the rule language sees it. A front sets what its protocol has, without copying; the rest is
 // missing.
 struct Request {
   using Pairs = std::span<const std::pair<std::string, std::string>>;
   std::string_view front;  // "http", "faktory"
   std::string_view path;   // without the query
-  std::string_view query;  // behind '?'
+  std::string_view query;  // after '?'
   std::string_view jobtype, queue;
-  Pairs headers;  // names in any case
+  Pairs headers;  // names are case-insensitive
   Pairs custom;
   AddressBytes peer{};
   std::int64_t body_bytes = 0;
-  std::int64_t deadline = 0;  // microseconds that the client will wait
+  std::int64_t deadline = 0;  // how long the client waits, microseconds
   bool is_retry = false;
 };
 
-// The most that a front lets through, by which the worst cost of a rule file is reckoned.
+// The largest request head that a front accepts; the worst-case cost of a rule file is based on these.
 inline constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 inline constexpr std::size_t kMaxHeaders = 256;
 
--- a/tests/fuzz/machine_fuzz.cpp
+++ b/tests/fuzz/machine_fuzz.cpp
@@ -7,7 +7,7 @@
 #include "src/match/checker.h"
 #include "src/match/parser.h"
 #include "src/match/rules.h"
-#include "tests/match/walk.h"
+#include "tests/match/tree_interpreter.h"
 
 namespace {
 
@@ -64,13 +64,13 @@
 };
 
 // The rules that decide, by the walk.
-std::vector<std::uint32_t> Walked(const FileText& file, const Request& request) {
+std::vector<std::uint32_t> Walked(const RuleFile& file, const Request& request) {
   std::vector<std::uint32_t> out;
   for (std::uint32_t i = 0; i < file.rules.size(); ++i) {
-    const RuleText& rule = file.rules[i];
-    if (rule.when && Walk(request).Eval(*rule.when).number == 0) continue;
+    const RuleDecl& rule = file.rules[i];
+    if (rule.when && TreeInterpreter(request).Eval(*rule.when).number == 0) continue;
     out.push_back(i);
-    if (!rule.goes_on) break;
+    if (!rule.continues) break;
   }
   return out;
 }
@@ -83,10 +83,10 @@
   const auto nul = std::min(all.find('\0'), all.size());
   const std::string text(all.substr(0, nul));
   const Sample sample(all.substr(std::min(nul + 1, all.size())));
-  std::vector<Fault> faults;
-  FileText file = Parse(text, faults);
-  if (faults.empty()) Check(file, faults);
-  if (!faults.empty()) return 0;
+  std::vector<Diagnostic> diagnostics;
+  RuleFile file = Parse(text, diagnostics);
+  if (diagnostics.empty()) Check(file, diagnostics);
+  if (!diagnostics.empty()) return 0;
   std::unique_ptr<Rules> rules;
   try {
     rules = std::make_unique<Rules>("fuzz", text, Limits{1e9});
@@ -102,7 +102,7 @@
     if (same && v.key) {  // it is the first key that any of them has
       for (const std::uint32_t i : walked) {
         if (!file.rules[i].key) continue;
-        const Value key = Walk(sample.request).Eval(*file.rules[i].key);
+        const Value key = TreeInterpreter(sample.request).Eval(*file.rules[i].key);
         if (!key.present) continue;
         same = static_cast<std::uint64_t>(key.number) == *v.key;
         break;
--- a/tests/fuzz/parse_fuzz.cpp
+++ b/tests/fuzz/parse_fuzz.cpp
@@ -15,15 +15,15 @@
     const auto before = Lex(text), after = Lex(once);
     bool same = before.size() == after.size() && Format("fuzz", once) == once;
     for (std::size_t i = 0; same && i < before.size(); ++i)
-      same = before[i].token == after[i].token && before[i].text == after[i].text &&
+      same = before[i].kind == after[i].kind && before[i].text == after[i].text &&
              before[i].number == after[i].number;
     if (!same) std::abort();
     Rules rules("fuzz", text, {1e9});
     rules.Explain();
   } catch (const RuleError& e) {
-    if (e.faults().empty() || std::string(e.what()).rfind("fuzz:", 0) != 0) std::abort();
-    for (const Fault& fault : e.faults()) {
-      if (fault.what.empty() || fault.at.begin > size) std::abort();
+    if (e.diagnostics().empty() || std::string(e.what()).rfind("fuzz:", 0) != 0) std::abort();
+    for (const Diagnostic& fault : e.diagnostics()) {
+      if (fault.message.empty() || fault.range.begin > size) std::abort();
     }
   }
   return 0;
--- a/tests/match/match_test.cpp
+++ b/tests/match/match_test.cpp
@@ -11,7 +11,7 @@
 #include "src/match/checker.h"
 #include "src/match/parser.h"
 #include "src/match/rules.h"
-#include "tests/match/walk.h"
+#include "tests/match/tree_interpreter.h"
 
 namespace {
 std::size_t g_allocations = 0;
@@ -380,17 +380,17 @@
   int held = 0;
   for (int n = 0; n < 4000; ++n) {
     const std::string expression = make.Bool(5);
-    std::vector<Fault> faults;
-    FileText file = Parse("rule r { when " + expression + " }", faults);
-    Check(file, faults);
-    ASSERT_TRUE(faults.empty()) << expression << ": " << faults[0].what;
+    std::vector<Diagnostic> diagnostics;
+    RuleFile file = Parse("rule r { when " + expression + " }", diagnostics);
+    Check(file, diagnostics);
+    ASSERT_TRUE(diagnostics.empty()) << expression << ": " << diagnostics[0].message;
     Rules rules("f", "rule r { when " + expression + " }", {1e9});
     for (int k = 0; k < 4; ++k) {
       Request r;
       r.path = k % 2 == 0 ? "/a" : "ab";
       r.headers = k < 2 ? some : both;
       r.is_retry = k == 3;
-      const bool walked = Walk(r).Eval(*file.rules[0].when).number != 0;
+      const bool walked = TreeInterpreter(r).Eval(*file.rules[0].when).number != 0;
       ASSERT_EQ(rules.Match(r).count == 1, walked) << expression;
       held += walked ? 1 : 0;
     }
--- a/tests/match/rules_test.cpp
+++ b/tests/match/rules_test.cpp
@@ -9,7 +9,7 @@
 #include "src/match/format.h"
 #include "src/match/parser.h"
 #include "src/match/service.h"
-#include "tests/match/walk.h"
+#include "tests/match/tree_interpreter.h"
 
 namespace heronway::match {
 namespace {
@@ -131,10 +131,10 @@
     for (int i = 0; i < 30; ++i)
       rules_text += "rule r" + std::to_string(i) + " { when " + (below(6) == 0 ? "c and " : "") + test(2) +
                     (below(2) == 0 ? " continue }\n" : " }\n");
-    std::vector<Fault> faults;
-    FileText tree = Parse(rules_text, faults);
-    Check(tree, faults);
-    ASSERT_TRUE(faults.empty()) << faults[0].what;
+    std::vector<Diagnostic> diagnostics;
+    RuleFile tree = Parse(rules_text, diagnostics);
+    Check(tree, diagnostics);
+    ASSERT_TRUE(diagnostics.empty()) << diagnostics[0].message;
     Rules rules("f", rules_text, {1e9});
     looked_up += Has(rules.Explain(), "found by path") ? 1 : 0;
     for (int n = 0; n < 40; ++n) {
@@ -144,9 +144,9 @@
       r.is_retry = below(2) == 0;
       std::vector<std::uint32_t> walked;
       for (std::uint32_t i = 0; i < tree.rules.size(); ++i) {
-        if (Walk(r).Eval(*tree.rules[i].when).number == 0) continue;
+        if (TreeInterpreter(r).Eval(*tree.rules[i].when).number == 0) continue;
         walked.push_back(i);
-        if (!tree.rules[i].goes_on) break;
+        if (!tree.rules[i].continues) break;
       }
       const MatchResult& v = rules.Match(r);
       ASSERT_EQ(std::vector<std::uint32_t>(v.matched.begin(), v.matched.begin() + static_cast<int>(v.count)),
--- a/tests/match/walk.h
+++ b/tests/match/tree_interpreter.h
@@ -1,7 +1,7 @@
 // The matching language as its reference says, by a plain walk over the checked tree: slow, allocating, and
 // written apart from the compiler, so that the two can be held against each other.
-#ifndef HERONWAY_TESTS_MATCH_WALK_H_
-#define HERONWAY_TESTS_MATCH_WALK_H_
+#ifndef HERONWAY_TESTS_MATCH_TREE_INTERPRETER_H_
+#define HERONWAY_TESTS_MATCH_TREE_INTERPRETER_H_
 
 #include <re2/re2.h>
 
@@ -17,54 +17,54 @@
 
 namespace heronway::match {
 
-class Walk {
+class TreeInterpreter {
  public:
-  explicit Walk(const Request& request) : r(request) {}
+  explicit TreeInterpreter(const Request& request) : r(request) {}
 
   Value Eval(const Node& n) {
-    const auto kid = [&](std::size_t i) { return Eval(*n.kids[i]); };
-    switch (n.form) {
-      case Form::kLiteral:
+    const auto child = [&](std::size_t i) { return Eval(*n.children[i]); };
+    switch (n.kind) {
+      case NodeKind::kLiteral:
         return n.value;
-      case Form::kName:
+      case NodeKind::kName:
         return Name(n);
-      case Form::kLet: {
-        lets_.emplace_back(n.kids[0].get(), kid(0));
-        const Value v = kid(1);
+      case NodeKind::kLet: {
+        lets_.emplace_back(n.children[0].get(), child(0));
+        const Value v = child(1);
         lets_.pop_back();
         return v;
       }
-      case Form::kAnd:
-        return kid(0).number != 0 ? kid(1) : Of(false);
-      case Form::kOr:
-        return kid(0).number != 0 ? Of(true) : kid(1);
-      case Form::kNot:
-        return Of(kid(0).number == 0);
-      case Form::kPresent:
-        return Of(kid(0).present);
-      case Form::kOrElse: {
-        const Value a = kid(0);
-        return a.present ? a : kid(1);
+      case NodeKind::kAnd:
+        return child(0).number != 0 ? child(1) : Of(false);
+      case NodeKind::kOr:
+        return child(0).number != 0 ? Of(true) : child(1);
+      case NodeKind::kNot:
+        return Of(child(0).number == 0);
+      case NodeKind::kPresent:
+        return Of(child(0).present);
+      case NodeKind::kOrElse: {
+        const Value a = child(0);
+        return a.present ? a : child(1);
       }
-      case Form::kNegate: {
-        const Value a = kid(0);
+      case NodeKind::kNegate: {
+        const Value a = child(0);
         return Sum(a.present, -static_cast<long double>(a.number));
       }
-      case Form::kAdd: {
-        const Value a = kid(0), b = kid(1);
+      case NodeKind::kAdd: {
+        const Value a = child(0), b = child(1);
         if (n.text == "*") {  // a product may have twice the bits
           __extension__ typedef __int128 Wide;
           const auto z = static_cast<Wide>(a.number) * b.number;
-          return Sum(a.present && b.present, z > kMost ? 0x1p63L : z < kLeast ? -0x1p63L : z);
+          return Sum(a.present && b.present, z > kMaxInt ? 0x1p63L : z < kMinInt ? -0x1p63L : z);
         }
         const long double x = a.number, y = b.number;
         return Sum(a.present && b.present, n.text == "+" ? x + y : x - y);
       }
-      case Form::kCompare:
-        return Compare(n, kid(0), kid(1));
-      case Form::kIn:
-        return In(n, kid(0));
-      case Form::kCall:
+      case NodeKind::kCompare:
+        return Compare(n, child(0), child(1));
+      case NodeKind::kIn:
+        return In(n, child(0));
+      case NodeKind::kCall:
         return Call(n);
       default:
         return {};
@@ -72,8 +72,8 @@
   }
 
  private:
-  static constexpr auto kMost = std::numeric_limits<std::int64_t>::max();
-  static constexpr auto kLeast = std::numeric_limits<std::int64_t>::min();
+  static constexpr auto kMaxInt = std::numeric_limits<std::int64_t>::max();
+  static constexpr auto kMinInt = std::numeric_limits<std::int64_t>::min();
   static Value Of(bool b) {
     Value v;
     v.number = b ? 1 : 0;
@@ -93,16 +93,16 @@
   static Value Sum(bool present, long double z) {
     Value v;
     v.present = present;
-    v.number = z >= 0x1p63L ? kMost : z < -0x1p63L ? kLeast : static_cast<std::int64_t>(z);
+    v.number = z >= 0x1p63L ? kMaxInt : z < -0x1p63L ? kMinInt : static_cast<std::int64_t>(z);
     return v;
   }
   static Value Maybe(std::string_view text) { return text.empty() ? Missing() : Text(text); }
 
   Value Name(const Node& n) {
     for (auto it = lets_.rbegin(); it != lets_.rend(); ++it) {
-      if (it->first == n.stands_for) return it->second;
+      if (it->first == n.resolved) return it->second;
     }
-    if (n.stands_for != nullptr) return Eval(*n.stands_for);
+    if (n.resolved != nullptr) return Eval(*n.resolved);
     if (n.text == "path") return Text(r.path);
     if (n.text == "front") return Text(r.front);
     if (n.text == "jobtype") return Maybe(r.jobtype);
@@ -115,10 +115,10 @@
 
   Value Compare(const Node& n, const Value& a, const Value& b) const {
     if (!a.present || !b.present) return Of(false);
-    const int c = n.kids[0]->type.type == Type::kString ? a.text.compare(b.text)
-                  : a.number < b.number                 ? -1
-                  : a.number > b.number                 ? 1
-                                                        : 0;
+    const int c = n.children[0]->type.type == Type::kString ? a.text.compare(b.text)
+                  : a.number < b.number                     ? -1
+                  : a.number > b.number                     ? 1
+                                                            : 0;
     return Of(n.text == "=="   ? c == 0
               : n.text == "!=" ? c != 0
               : n.text == "<"  ? c < 0
@@ -140,14 +140,14 @@
                                                : entry.value.number == a.number;
   }
   Value In(const Node& n, const Value& a) const {
-    const Node& set = n.kids[1]->stands_for != nullptr ? *n.kids[1]->stands_for : *n.kids[1];
+    const Node& set = n.children[1]->resolved != nullptr ? *n.children[1]->resolved : *n.children[1];
     if (!a.present) return Of(false);
-    if (set.form == Form::kRange)
-      return Of(a.number >= set.kids[0]->value.number && a.number <= set.kids[1]->value.number);
-    if (set.form == Form::kNetwork) return Of(Holds(set, a));
+    if (set.kind == NodeKind::kRange)
+      return Of(a.number >= set.children[0]->value.number && a.number <= set.children[1]->value.number);
+    if (set.kind == NodeKind::kNetwork) return Of(Holds(set, a));
     bool in = false;
-    for (std::size_t i = 0; i < set.kids.size(); i += set.form == Form::kMap ? 2 : 1)
-      in = in || Holds(*set.kids[i], a);
+    for (std::size_t i = 0; i < set.children.size(); i += set.kind == NodeKind::kMap ? 2 : 1)
+      in = in || Holds(*set.children[i], a);
     return Of(in);
   }
 
@@ -187,11 +187,11 @@
   }
 
   Value OfRequest(const Node& n) const {
-    const std::string& name = n.kids[0]->text;
+    const std::string& name = n.children[0]->text;
     if (n.text == "segment") {
       std::string_view path = r.path;
       if (path.starts_with("/")) path.remove_prefix(1);
-      const Value v = Part(Cut(path, "/"), n.kids[0]->value.number);
+      const Value v = Part(Cut(path, "/"), n.children[0]->value.number);
       return v.present ? Maybe(v.text) : v;
     }
     if (n.text == "query") {
@@ -218,15 +218,15 @@
     if (n.text == "segment" || n.text == "header" || n.text == "query" || n.text == "custom")
       return OfRequest(n);
     if (n.text == "lookup") {
-      const Value key = Eval(*n.kids[1]);
-      const auto& kids = n.kids[0]->stands_for->kids;
-      for (std::size_t i = 0; key.present && i < kids.size(); i += 2) {
-        if (Holds(*kids[i], key)) return kids[i + 1]->value;
+      const Value key = Eval(*n.children[1]);
+      const auto& children = n.children[0]->resolved->children;
+      for (std::size_t i = 0; key.present && i < children.size(); i += 2) {
+        if (Holds(*children[i], key)) return children[i + 1]->value;
       }
       return Missing();
     }
-    const Value a = Eval(*n.kids[0]);
-    const std::string_view with = n.kids.size() > 1 ? std::string_view(n.kids[1]->text) : "";
+    const Value a = Eval(*n.children[0]);
+    const std::string_view with = n.children.size() > 1 ? std::string_view(n.children[1]->text) : "";
     Value v;
     v.present = a.present;
     if (n.text == "length") {
@@ -239,7 +239,7 @@
       v.text = kept_.back();
     } else if (n.text == "split") {
       if (!a.present || with.empty()) return Missing();
-      return Part(Cut(a.text, with), n.kids[2]->value.number);
+      return Part(Cut(a.text, with), n.children[2]->value.number);
     } else if (n.text == "int" || n.text == "hex") {
       const char* end = a.text.data() + a.text.size();
       std::uint64_t bits = 0;
@@ -252,7 +252,8 @@
     } else if (n.text == "matches") {
       RE2::Options latin(RE2::Latin1);
       latin.set_log_errors(false);
-      return Of(a.present && RE2::PartialMatch({a.text.data(), a.text.size()}, RE2(n.kids[1]->text, latin)));
+      return Of(a.present &&
+                RE2::PartialMatch({a.text.data(), a.text.size()}, RE2(n.children[1]->text, latin)));
     } else {
       return Of(a.present && (n.text == "prefix"   ? a.text.starts_with(with)
                               : n.text == "suffix" ? a.text.ends_with(with)
@@ -268,4 +269,4 @@
 
 }  // namespace heronway::match
 
-#endif  // HERONWAY_TESTS_MATCH_WALK_H_
+#endif  // HERONWAY_TESTS_MATCH_TREE_INTERPRETER_H_
