--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// The one place where configuration is read, checked and given its defaults. Messages name the faulty key.
+// The site's configuration file and the file of the Faktory front: reading, validation and defaults. Errors
+// name the invalid key.
 #ifndef HERONWAY_CONFIG_CONFIG_H_
 #define HERONWAY_CONFIG_CONFIG_H_
 
@@ -13,45 +14,48 @@
 
 using pebblenotch::Micros;
 
+// The contents of the configuration file, with EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONSOLE
+// applied.
 struct Config {
   std::string name;
   net::Address listen{}, discovery{};
-  bool has_console = false;  // `console` or $EDGE_CONSOLE names the operators' second address
+  bool has_console = false;  // the console's address is set, by `console` or $EDGE_CONSOLE
   net::Address console{};
   std::uint64_t seed = 0;
-  int sockets = 1024;
-  int memory_mb = 192;
-  Json::Value known;          // the list of targets as last known, in discovery's form
-  std::string settings_text;  // the settings, flattened
+  int sockets = 1024;         // descriptors that the process may use
+  int memory_mb = 192;        // memory for buffers and requests, in MiB
+  Json::Value known_targets;  // used until discovery answers; in the format of its answers
+  std::string settings_text;  // the settings in the flattened form, see Flatten
 
-  pebblenotch::wire::InstanceSettings module;  // from the adapter's parser, its only reader
-  // What only the sockets need, under the settings' names.
+  pebblenotch::wire::InstanceSettings module;  // parsed from settings_text by the adapter
+  // Settings that the module ignores and the network layer uses. Times are in microseconds.
   std::vector<std::string> classes, zones, kinds, load_fields;
   Micros conn_idle = 5'000'000, dial_timeout = 250'000;
-  int most_held = 20'000;
+  int max_pending = 20'000;  // requests per front; above it new ones are shed
 };
 
-// Where the Faktory front listens and what it asks of those who connect.
+// Settings of the Faktory front.
 struct FaktoryConfig {
   bool enabled = false;
   net::Address listen{};
-  std::string password;
-  int most_connections = 100;
+  std::string password;  // empty: clients need none
+  int max_connections = 100;
 };
 
-// At the start EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY go before what the file says. A file that is read
-// again goes before them: the environment of a running program cannot have changed.
-enum class Reading { kStart, kAgain };
-// Reads EDGE_CONFIG's file.
-Config Load(const std::string& path, Reading reading = Reading::kStart);
-Config Parse(const std::string& json_text, Reading reading = Reading::kStart);
-// The keys in which `next` differs from what is in force and which take effect only at the next start.
-std::vector<std::string> NeedsRestart(const Config& in_force, const Config& next);
-// Without a path: deploy/faktory.json below the folder it runs in; where there is none, the front is off.
+// At the start the environment variables override the file. On a reload the file overrides them, because the
+// environment of a running process cannot change.
+enum class LoadReason { kStart, kReload };
+// Reads and validates the file at `path`; throws ConfigError.
+Config Load(const std::string& path, LoadReason reason = LoadReason::kStart);
+Config Parse(const std::string& json_text, LoadReason reason = LoadReason::kStart);
+// The keys that differ between the two configurations and take effect only after a restart.
+std::vector<std::string> KeysNeedingRestart(const Config& current, const Config& next);
+// An empty path stands for deploy/faktory.json in the working directory; the front is disabled if that file
+// does not exist. Throws ConfigError.
 FaktoryConfig LoadFaktory(const std::string& path);
 FaktoryConfig ParseFaktory(const std::string& json_text);
 
-// Nested JSON settings as the lines of `path=value` that the adapter's ParseSettings reads.
+// Converts nested JSON settings to the lines of the form `path=value` that the adapter's ParseSettings reads.
 std::string Flatten(const Json::Value& settings);
 
 }  // namespace heronway::config
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -10,7 +10,7 @@
 
 namespace heronway::config {
 
-[[noreturn]] void Fault(const std::string& key, const std::string& what) {
+[[noreturn]] void ThrowKeyError(const std::string& key, const std::string& what) {
   throw ConfigError("config: key " + key + " " + what);
 }
 
@@ -40,56 +40,56 @@
 }
 
 Section::Section(const Json::Value& object, std::string path) : object_(object), path_(std::move(path)) {
-  if (!object_.isNull() && !object_.isObject()) Fault(path_, "is not an object");
+  if (!object_.isNull() && !object_.isObject()) ThrowKeyError(path_, "is not an object");
 }
 
 const Json::Value& Section::Get(const char* name) const {
-  read_.insert(name);
+  known_keys_.insert(name);
   return object_.isObject() && object_.isMember(name) ? object_[name] : Json::Value::nullSingleton();
 }
 
 std::string Section::Text(const char* name, const std::string& fallback) const {
   const Json::Value& v = Get(name);
   if (v.isNull()) return fallback;
-  if (!v.isString()) Fault(Path(name), "is not a text");
+  if (!v.isString()) ThrowKeyError(Path(name), "is not a string");
   return v.asString();
 }
 
-std::int64_t Section::Whole(const char* name, std::int64_t fallback, std::int64_t least,
-                            std::int64_t most) const {
+std::int64_t Section::Integer(const char* name, std::int64_t fallback, std::int64_t min,
+                              std::int64_t max) const {
   const Json::Value& v = Get(name);
   if (v.isNull()) return fallback;
-  if (!v.isNumeric()) Fault(Path(name), "is not a number");
-  const double d = v.asDouble();
-  if (!(d >= static_cast<double>(least) && d <= static_cast<double>(most)))
-    Fault(Path(name), "is not between " + std::to_string(least) + " and " + std::to_string(most));
-  return static_cast<std::int64_t>(d);
+  if (!v.isNumeric()) ThrowKeyError(Path(name), "is not a number");
+  const double number = v.asDouble();
+  if (!(number >= static_cast<double>(min) && number <= static_cast<double>(max)))
+    ThrowKeyError(Path(name), "is not between " + std::to_string(min) + " and " + std::to_string(max));
+  return static_cast<std::int64_t>(number);
 }
 
-double Section::Number(const char* name, double fallback, double least, double most) const {
+double Section::Number(const char* name, double fallback, double min, double max) const {
   const Json::Value& v = Get(name);
   if (v.isNull()) return fallback;
-  if (!v.isNumeric()) Fault(Path(name), "is not a number");
-  const double d = v.asDouble();
-  if (!(d >= least && d <= most)) {
+  if (!v.isNumeric()) ThrowKeyError(Path(name), "is not a number");
+  const double number = v.asDouble();
+  if (!(number >= min && number <= max)) {
     std::ostringstream what;
-    what << "is not between " << least << " and " << most;
-    Fault(Path(name), what.str());
+    what << "is not between " << min << " and " << max;
+    ThrowKeyError(Path(name), what.str());
   }
-  return d;
+  return number;
 }
 
-pebblenotch::Micros Section::Millis(const char* name, pebblenotch::Micros fallback, pebblenotch::Micros least,
-                                    pebblenotch::Micros most) const {
-  const double ms = Number(name, static_cast<double>(fallback) / 1e3, static_cast<double>(least) / 1e3,
-                           static_cast<double>(most) / 1e3);
+pebblenotch::Micros Section::Millis(const char* name, pebblenotch::Micros fallback, pebblenotch::Micros min,
+                                    pebblenotch::Micros max) const {
+  const double ms = Number(name, static_cast<double>(fallback) / 1e3, static_cast<double>(min) / 1e3,
+                           static_cast<double>(max) / 1e3);
   return static_cast<pebblenotch::Micros>(ms * 1e3 + 0.5);
 }
 
 bool Section::Flag(const char* name, bool fallback) const {
   const Json::Value& v = Get(name);
   if (v.isNull()) return fallback;
-  if (!v.isBool()) Fault(Path(name), "is not true or false");
+  if (!v.isBool()) ThrowKeyError(Path(name), "is not true or false");
   return v.asBool();
 }
 
@@ -100,10 +100,10 @@
   if (it != names.end()) return static_cast<std::size_t>(it - names.begin());
   std::string all;
   for (const auto& n : names) all += (all.empty() ? "" : ", ") + n;
-  Fault(Path(name), "is none of " + all);
+  ThrowKeyError(Path(name), "is not one of " + all);
 }
 
-std::vector<std::string> Section::Texts(const char* name) const {
+std::vector<std::string> Section::TextList(const char* name) const {
   const Json::Value& v = Get(name);
   std::vector<std::string> out;
   if (v.isString()) {
@@ -111,30 +111,30 @@
     for (std::string item; std::getline(in, item, ',');) out.push_back(item);
   } else if (v.isArray()) {
     for (const Json::Value& item : v) {
-      if (!item.isString()) Fault(Path(name), "is not a list of texts");
+      if (!item.isString()) ThrowKeyError(Path(name), "is not a list of strings");
       out.push_back(item.asString());
     }
   } else if (!v.isNull()) {
-    Fault(Path(name), "is not a list of texts");
+    ThrowKeyError(Path(name), "is not a list of strings");
   }
   return out;
 }
 
-net::Address Section::Address(const char* name, const char* variable, bool file_first) const {
+net::Address Section::Address(const char* name, const char* variable, bool prefer_file) const {
   const char* set = variable != nullptr ? std::getenv(variable) : nullptr;
-  if (file_first && !Get(name).isNull()) set = nullptr;
+  if (prefer_file && !Get(name).isNull()) set = nullptr;
   const std::string text = set != nullptr ? set : Text(name, "");
   const std::string key = set != nullptr ? variable : Path(name);
-  if (text.empty()) Fault(key, "is missing");
+  if (text.empty()) ThrowKeyError(key, "is missing");
   const auto address = net::ParseAddress(text);
-  if (!address) Fault(key, "is not an address such as 10.0.0.4:8080");
+  if (!address) ThrowKeyError(key, "is not an address such as 10.0.0.4:8080");
   return *address;
 }
 
-void Section::NoOthers() const {
+void Section::RejectUnknownKeys() const {
   if (!object_.isObject()) return;
   for (const std::string& name : object_.getMemberNames()) {
-    if (!read_.contains(name)) Fault(Path(name.c_str()), "is not known");
+    if (!known_keys_.contains(name)) ThrowKeyError(Path(name.c_str()), "is not known");
   }
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,4 +1,4 @@
-// Reading JSON files key by key: every message names the key that is at fault.
+// Typed access to the keys of a JSON file. Every error names the invalid key.
 #ifndef HERONWAY_CONFIG_JSON_H_
 #define HERONWAY_CONFIG_JSON_H_
 
@@ -14,43 +14,51 @@
 
 namespace heronway::config {
 
+// An unreadable file, invalid JSON, or an invalid value of a key.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] void Fault(const std::string& key, const std::string& what);
+// Throws ConfigError with the message "config: key `key` `what`".
+[[noreturn]] void ThrowKeyError(const std::string& key, const std::string& what);
+// The contents of a file; throws ConfigError if it cannot be read.
 std::string ReadFile(const std::string& path);
-Json::Value ParseJson(const std::string& text);  // an object
+// Parses a JSON object; throws ConfigError for other values, duplicate keys and text after the object.
+Json::Value ParseJson(const std::string& text);
 
-// A member of an object, by a path of names; the reading functions say which key is at fault, and give the
-// fallback where there is none.
+// An object in a JSON file and the path of keys that leads to it. The typed getters return `fallback` where
+// the key is missing, and throw ConfigError where the value has another type or is outside `min` to `max`.
 class Section {
  public:
+  // `object` must outlive the section; throws ConfigError unless it is an object or null.
   Section(const Json::Value& object, std::string path);
-  Section In(const char* name) const { return Section(Get(name), Path(name)); }
+  Section Subsection(const char* name) const { return Section(Get(name), Path(name)); }
+  // The value of a key; null where it is missing.
   const Json::Value& Get(const char* name) const;
   std::string Text(const char* name, const std::string& fallback) const;
-  std::int64_t Whole(const char* name, std::int64_t fallback, std::int64_t least, std::int64_t most) const;
-  double Number(const char* name, double fallback, double least, double most) const;
-  // A time in milliseconds, as microseconds; the bounds are microseconds too.
-  pebblenotch::Micros Millis(const char* name, pebblenotch::Micros fallback, pebblenotch::Micros least,
-                             pebblenotch::Micros most) const;
+  std::int64_t Integer(const char* name, std::int64_t fallback, std::int64_t min, std::int64_t max) const;
+  double Number(const char* name, double fallback, double min, double max) const;
+  // Converts a time from milliseconds to microseconds. `fallback`, `min` and `max` are in microseconds.
+  pebblenotch::Micros Millis(const char* name, pebblenotch::Micros fallback, pebblenotch::Micros min,
+                             pebblenotch::Micros max) const;
   bool Flag(const char* name, bool fallback) const;
-  // One of the names; gives its place.
+  // The index in `names` of the string value.
   std::size_t OneOf(const char* name, std::size_t fallback, const std::vector<std::string>& names) const;
-  // A list of plain texts; one text with commas is a list as well.
-  std::vector<std::string> Texts(const char* name) const;
-  // `variable`: of the environment, and goes before the key unless `file_first` and the key is there.
-  net::Address Address(const char* name, const char* variable, bool file_first = false) const;
+  // A list of strings, given as an array or as one string separated by commas.
+  std::vector<std::string> TextList(const char* name) const;
+  // An address that must be present. The environment variable `variable` (null: none) overrides the key,
+  // unless `prefer_file` is set and the key is present.
+  net::Address Address(const char* name, const char* variable, bool prefer_file = false) const;
+  // The full path of a key, as errors name it.
   std::string Path(const char* name) const { return path_.empty() ? name : path_ + "." + name; }
-  // Guards against a key that is misspelt and silently does nothing: each must have been read by now.
-  void NoOthers() const;
+  // Throws ConfigError for a key that no getter was called for, so that a misspelt key is not ignored.
+  void RejectUnknownKeys() const;
 
  private:
   const Json::Value& object_;
   std::string path_;
-  mutable std::set<std::string> read_;
+  mutable std::set<std::string> known_keys_;
 };
 
 }  // namespace heronway::config
--- a/src/config/options.h
+++ b/src/config/options.h
@@ -1,4 +1,4 @@
-// The operators' own file, deploy/heronway.json: one section a subsystem. Keys that are not known are errors.
+// The options file, deploy/heronway.json, with one section per subsystem. Unknown keys are errors.
 #ifndef HERONWAY_CONFIG_OPTIONS_H_
 #define HERONWAY_CONFIG_OPTIONS_H_
 
@@ -12,10 +12,11 @@
 namespace heronway::config {
 
 struct MatchOptions {
-  std::string rules;      // the rule file's path; empty: no rules
-  double budget_us = 60;  // that a request may cost at worst, by the reckoning at load; 1 to 10,000
+  std::string rules;      // path of the rule file; empty: no rules
+  double budget_us = 60;  // upper bound on the estimated worst cost of a request; 1 to 10,000
 };
 
+// The contents of the options file; the defaults apply to missing keys.
 struct Options {
   log::Settings log;
   limits::Settings limits;
@@ -26,7 +27,8 @@
 
 inline constexpr const char* kOptionsFile = "deploy/heronway.json";
 
-// Without a path: kOptionsFile below the folder it runs in; where there is none, the defaults.
+// An empty path stands for kOptionsFile in the working directory; the defaults apply if that file does not
+// exist. Throws ConfigError, also for an unknown key.
 Options LoadOptions(const std::string& path);
 Options ParseOptions(const std::string& json_text);
 
--- a/src/core/durable_jobs.cpp
+++ b/src/core/durable_jobs.cpp
@@ -169,12 +169,12 @@
     job_manager_->Adopt(now_, e.store_id, id, std::move(job), e.clock_stepped_at, records_);
 }
 
-void Reducer::On(HomeClosing& e) { job_manager_->CloseStore(e.store_id); }
+void Reducer::On(StoreClosing& e) { job_manager_->CloseStore(e.store_id); }
 
 // Prevents a second answer and a second run now that another scheduler manages these jobs. Its decisions are
 // not known here, so clients are told that the outcome is unknown, and nothing is recorded. Hops in flight
 // are not cancelled: the other scheduler knows them from their leases and relies on them.
-void Reducer::On(HomeLost& e) {
+void Reducer::On(StoreLost& e) {
   std::vector<Ticket> tickets;
   for (const auto& [ticket, job] : jobs_) {
     if (job.durable && job.store_id == e.store_id) tickets.push_back(ticket);
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -145,18 +145,18 @@
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
 // The jobs of this store are about to be handed back to their own scheduler; none starts another round.
-struct HomeClosing {
+struct StoreClosing {
   int store_id = 0;
 };
 // The jobs of this store now belong to another scheduler, and none is answered from here any more.
-struct HomeLost {
+struct StoreLost {
   int store_id = 0;
 };
 using Event =
     std::variant<RequestArrived, HopCallback, HopAccepted, HopEnded, HopCancelled, ProbeEnded,
                  IngressDisconnected, IngressDetached, IngressConnected, RoutesChanged, Wake, DrainStarted,
                  JobSubmitted, RoundInvalid, TargetHeartbeat, OperatorOrder, StoreLoaded, Cordon, FleetView,
-                 TargetSuspected, GossipedLoad, JobsAdopted, HomeClosing, HomeLost>;
+                 TargetSuspected, GossipedLoad, JobsAdopted, StoreClosing, StoreLost>;
 
 // Effects.
 
@@ -344,8 +344,8 @@
   void On(OperatorOrder& e);
   void On(StoreLoaded&);
   void On(JobsAdopted& e);
-  void On(HomeClosing& e);
-  void On(HomeLost& e);
+  void On(StoreClosing& e);
+  void On(StoreLost& e);
   void On(Cordon& e) { cordoned_ = e.on; }
   void On(FleetView& e);
   void On(TargetSuspected& e);
--- a/src/fronts/faktory/front.cpp
+++ b/src/fronts/faktory/front.cpp
@@ -70,7 +70,7 @@
           [this](int fd, const net::Address& from) { OnAccept(fd, from); }),
       max_bytes_(static_cast<std::size_t>(config.memory_mb) * 1024 * 1024 / 16) {
   // This front's part of the descriptors, which the HTTP front's budget leaves free.
-  faktory_.most_connections = std::min(faktory_.most_connections, std::max(1, config.sockets / 10));
+  faktory_.max_connections = std::min(faktory_.max_connections, std::max(1, config.sockets / 10));
   if (durable()) driver_.Post(core::StoreLoaded{});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
 }
@@ -98,7 +98,7 @@
 }
 
 bool Front::ReserveDescriptor(bool required) {
-  if (!required && connections_.size() < static_cast<std::size_t>(faktory_.most_connections)) return true;
+  if (!required && connections_.size() < static_cast<std::size_t>(faktory_.max_connections)) return true;
   const auto it = std::find_if(connections_.begin(), connections_.end(), [](const auto& c) {
     return c->worker == nullptr && !c->busy() && c->stream.all_sent();
   });
@@ -285,7 +285,7 @@
   // A copy, as the original points into data that is moved below.
   const std::string tenant(judgement.tenant.value_or(""));
   core::RequestArrived arrived;
-  if (reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
+  if (reducer().pending() >= static_cast<std::size_t>(config_.max_pending) ||
       job_bytes_ + arguments.size() > max_bytes_) {
     ++shed_;
     if (reducer().limits() == nullptr) return c.Send(Error("SHED too many jobs held; come back in 1.000 s"));
--- a/src/fronts/faktory/front.h
+++ b/src/fronts/faktory/front.h
@@ -49,7 +49,7 @@
   void SetJobLookup(JobLookup look_up) { job_lookup_ = std::move(look_up); }
   // The number of connections below the configured maximum.
   std::size_t unused_connections() const {
-    const auto limit = static_cast<std::size_t>(faktory_.most_connections);
+    const auto limit = static_cast<std::size_t>(faktory_.max_connections);
     return limit - std::min(limit, connections_.size());
   }
   net::Driver& driver() { return driver_; }  // for jobs that move between schedulers
--- a/src/fronts/http/egress.cpp
+++ b/src/fronts/http/egress.cpp
@@ -106,7 +106,7 @@
     return id;
   }
   connections_.push_back(std::make_shared<Connection>(*this, target, at));
-  if (connections_.size() > limits_.most_connections && !close_borrowed_.running())
+  if (connections_.size() > limits_.max_connections && !close_borrowed_.running())
     close_borrowed_.Start(kCloseBorrowedInterval);
   Begin(*connections_.back(), std::move(compose), response_timeout, id, std::move(done));
   return id;
@@ -182,7 +182,7 @@
   const std::size_t most = MostConnections();
   while (connections_.size() > most && CloseOldestIdle()) {
   }
-  if (connections_.size() > limits_.most_connections) close_borrowed_.Start(kCloseBorrowedInterval);
+  if (connections_.size() > limits_.max_connections) close_borrowed_.Start(kCloseBorrowedInterval);
 }
 
 // Closes the oldest idle connection of any target. Returns false if there is none.
--- a/src/fronts/http/egress.h
+++ b/src/fronts/http/egress.h
@@ -40,7 +40,7 @@
  public:
   struct Limits {
     Micros dial_timeout, conn_idle;
-    std::size_t most_connections;
+    std::size_t max_connections;
     // Number of connections currently allowed in addition; may be null.
     std::function<std::size_t()> borrowable = nullptr;
   };
@@ -91,7 +91,7 @@
   bool CloseOldestIdle();
   void CloseBorrowed();
   std::size_t MostConnections() const {
-    return limits_.most_connections + (limits_.borrowable ? limits_.borrowable() : 0);
+    return limits_.max_connections + (limits_.borrowable ? limits_.borrowable() : 0);
   }
   bool AvoidsReuse() const { return context_.loop.Now() < avoid_reuse_until_; }
 
--- a/src/fronts/http/front.cpp
+++ b/src/fronts/http/front.cpp
@@ -96,7 +96,7 @@
       close_idle_(context.loop, [this] { CloseIdle(); }) {
   if (durable()) driver_.Post(core::StoreLoaded{});
   // The age of the configured list is unknown; the reducer uses it once the watch reports that it may.
-  routes_.Apply(config.known, core::ListKind::kCached, {context_.loop.Now(), net::Loop::WallClock()});
+  routes_.Apply(config.known_targets, core::ListKind::kCached, {context_.loop.Now(), net::Loop::WallClock()});
   driver_.Post(core::RoutesChanged{core::ListKind::kCached, {}});
   watch_.ScheduleFirstCall();
 }
--- a/src/fronts/http/requests.cpp
+++ b/src/fronts/http/requests.cpp
@@ -158,7 +158,7 @@
   pebblenotch::Request& r = arrived.request;
   const std::size_t size = message.size();
   // Limits memory and descriptors: a request that cannot be held is shed at once, before any work on it.
-  if (driver_.reducer().pending() >= static_cast<std::size_t>(config_.most_held) ||
+  if (driver_.reducer().pending() >= static_cast<std::size_t>(config_.max_pending) ||
       pending_bytes_ + size > budget_.held_bytes || !CanHoldRequest() ||
       (!alias.empty() && driver_.StoreUnavailable())) {
     ++not_admitted_;
--- a/src/match/tool.cpp
+++ b/src/match/tool.cpp
@@ -17,10 +17,10 @@
 
 Pairs ReadPairs(const config::Section& top, const char* name) {
   Pairs out;
-  top.In(name);
+  top.Subsection(name);
   const Json::Value& object = top.Get(name);
   for (const auto& key : object.isNull() ? std::vector<std::string>{} : object.getMemberNames()) {
-    if (!object[key].isString()) config::Fault(top.Path(name) + "." + key, "is not a text");
+    if (!object[key].isString()) config::ThrowKeyError(top.Path(name) + "." + key, "is not a string");
     out.emplace_back(key, object[key].asString());
   }
   return out;
@@ -63,11 +63,11 @@
   r.queue = queue;
   r.headers = headers;
   r.custom = custom;
-  r.body_bytes = top.Whole("body_bytes", 0, 0, 1LL << 40);
-  r.deadline = top.Whole("deadline_ms", 0, 0, 1LL << 40) * 1000;
+  r.body_bytes = top.Integer("body_bytes", 0, 0, 1LL << 40);
+  r.deadline = top.Integer("deadline_ms", 0, 0, 1LL << 40) * 1000;
   r.repeat = top.Flag("repeat", false);
-  if (!ParseAddress(peer, r.peer)) config::Fault("peer", "is not an address");
-  top.NoOthers();
+  if (!ParseAddress(peer, r.peer)) config::ThrowKeyError("peer", "is not an address");
+  top.RejectUnknownKeys();
   std::fputs(rules.Why(r).c_str(), stdout);
   return 0;
 }
--- a/src/net/driver.h
+++ b/src/net/driver.h
@@ -120,7 +120,7 @@
   bool QuiesceGroup(const std::string& group) {
     const auto it = store_id_by_group_.find(group);
     if (it == store_id_by_group_.end()) return true;
-    Post(core::HomeClosing{it->second});
+    Post(core::StoreClosing{it->second});
     // Outcomes must be stored as well: otherwise the scheduler that gets the jobs back would not know them.
     const CommitBarrier* store_barrier = barrier(it->second);
     return reducer_.job_manager()->ActiveCount(it->second) == 0 &&
@@ -173,7 +173,7 @@
     const std::unique_ptr<CommitBarrier> lost_barrier = std::move(store_barrier->second);
     barriers_.erase(store_barrier);
     store_id_by_group_.erase(group);
-    Post(core::HomeLost{store_id});
+    Post(core::StoreLost{store_id});
     lost_barrier->Abandon([this](core::Event event) { Post(std::move(event)); });
   }
 
--- a/tests/durable/job_manager_test.cpp
+++ b/tests/durable/job_manager_test.cpp
@@ -527,7 +527,7 @@
   const auto at = c.Find<core::SendHop>()->target;
   c.Do(core::JobSubmitted{"own", Spec(kAtMostOnce)});
   c.Dispatch("own", kAtMostOnce);
-  c.Do(core::HomeLost{3});
+  c.Do(core::StoreLost{3});
   ASSERT_NE(c.Find<core::Answer>(), nullptr);
   EXPECT_EQ(c.Find<core::Answer>()->kind, core::AnswerKind::kFailed);
   EXPECT_FALSE(c.Find<core::Answer>()->durable) << "it depends on no records";
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -455,12 +455,12 @@
   EXPECT_EQ(ConfigErrorOf(R"({"limits":{"watch":{"rising":2}}})"),
             "config: key limits.watch.rising is not between 0.01 and 1");
   EXPECT_EQ(ConfigErrorOf(R"({"limits":{"watch":{"storm":0.1}}})"),
-            "config: key limits.watch.storm is not over limits.watch.rising");
+            "config: key limits.watch.storm is not greater than limits.watch.rising");
   EXPECT_EQ(ConfigErrorOf(R"({"limits":{"clients":{"most":1000}}})"),
             "config: key limits.clients.most is not a power of two");
   EXPECT_EQ(ConfigErrorOf(R"({"limits":{"repeats":{"shares":1}}})"),
             "config: key limits.repeats.shares is not known");
-  EXPECT_EQ(ConfigErrorOf(R"({"log":{"form":"xml"}})"), "config: key log.form is none of text, json");
+  EXPECT_EQ(ConfigErrorOf(R"({"log":{"form":"xml"}})"), "config: key log.form is not one of text, json");
   EXPECT_NE(ConfigErrorOf(R"({"log":{},"log":{}})"), "");
 }
 
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -34,7 +34,7 @@
     std::string json = site.Json();
     json.insert(json.find("\"mayCancel\""), "\"dialTimeout\":5000000,");
     if (!may_cancel) json.replace(json.find("\"mayCancel\":true"), 16, "\"mayCancel\":false");
-    config = config::Parse(json, config::Reading::kStart);
+    config = config::Parse(json, config::LoadReason::kStart);
     context.log_connections = false;
     front =
         std::make_unique<http::Front>(context, config, options, false, nullptr, [this] { drained = true; });
