--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,8 +20,8 @@
 #include "src/fronts/http/front.h"
 #include "src/fronts/log_reports.h"
 #include "src/log/log.h"
-#include "src/match/service.h"
 #include "src/match/rule_commands.h"
+#include "src/match/service.h"
 #include "src/trace/trace.h"
 
 namespace {
