--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -90,8 +90,8 @@
 // A scheduler process with its configuration in a folder of its own.
 struct Scheduler {
   static int FreePort() {
-    e2e::Peer peer;
-    const int port = std::stoi(peer.at.substr(peer.at.find(':') + 1));
+    e2e::Listener peer;
+    const int port = std::stoi(peer.address.substr(peer.address.find(':') + 1));
     peer.Close();
     return port;
   }
@@ -99,7 +99,7 @@
   explicit Scheduler(const std::string& in, int index = 0, int copies = 1) : folder(in) {
     port = FreePort();
     std::string cluster;
-    e2e::Site site;
+    e2e::Config site;
     site.sockets = 1024;
     if (copies > 1) {
       const auto at = [](int i, int p) {
@@ -149,8 +149,8 @@
   }
   // Number of voting replicas of its Faktory front's group.
   int Voters() const {
-    const std::string all =
-        e2e::Conn::To(console).Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
+    const std::string all = e2e::Conn::Connect(console).RequestHttp(
+        "GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
     int voters = 0;
     const auto own = all.find("\"front\":\"faktory\",\"group\":\"s0/"), end = all.find(']', own);
     for (auto at = all.find("\"votes\":true", own); at < end; at = all.find("\"votes\":true", at + 1))
--- a/tests/faults/fleet.cpp
+++ b/tests/faults/fleet.cpp
@@ -139,7 +139,7 @@
     m->at = rig::OwnHost(1 + i) + ":8080";
     m->console = rig::OwnHost(1 + i) + ":15000";
     for (const auto& w : m->workers) w->CallBackTo(m->at);
-    e2e::Site site;
+    e2e::Config site;
     site.discovery = m->discovery->address();
     site.targets = targets;
     site.listen = m->at;
--- a/tests/net/copies_e2e_test.cpp
+++ b/tests/net/copies_e2e_test.cpp
@@ -7,7 +7,8 @@
 
 const std::string kFaktory = "{\"enabled\":true,\"listen\":\"127.0.0.1:0\",\"password\":\"\"}";
 
-bool Until(const std::function<bool()>& holds, double seconds = 15) {
+// Polls the condition; false if it does not hold within `seconds`.
+bool WaitUntil(const std::function<bool()>& holds, double seconds = 15) {
   for (const double until = Now() + seconds; Now() < until; Pause(0.05)) {
     if (holds()) return true;
   }
@@ -15,10 +16,10 @@
 }
 
 // Three schedulers s0 to s2 in one fleet, each with its own folder for its stores.
-class Trio {
+class ThreeSchedulers {
  public:
   // `targets`: route table entries of all three, as in e2e::Site.
-  explicit Trio(int takeover_ms = 0, const std::string& targets = "")
+  explicit ThreeSchedulers(int takeover_ms = 0, const std::string& targets = "")
       : takeover_ms_(takeover_ms), targets_(targets) {
     char name[] = "/tmp/heronway-copies-XXXXXX";
     assert(mkdtemp(name) != nullptr);
@@ -26,20 +27,21 @@
     host_ = "127." + std::to_string(2 + getpid() % 90) + "." + std::to_string(1 + getpid() / 90 % 250);
     for (int i = 0; i < 3; ++i) {
       std::filesystem::create_directories(Disk(i));
-      programs_.push_back(std::make_unique<Program>(Config(), kFaktory, Options(i)));
+      programs_.push_back(std::make_unique<Program>(ConfigJson(), kFaktory, Options(i)));
     }
     for (int i = 0; i < 3; ++i)
-      assert(Until([&] { return Voters(i, Group(i)) == 3; }) && "each job store has three voting replicas");
+      assert(WaitUntil([&] { return Voters(i, Group(i)) == 3; }) &&
+             "each job store has three voting replicas");
   }
-  ~Trio() {
+  ~ThreeSchedulers() {
     programs_.clear();
     std::filesystem::remove_all(folder_);
   }
   std::string Disk(int i) const { return folder_ + "/disk" + std::to_string(i); }
   Program& operator[](int i) { return *programs_[static_cast<std::size_t>(i)]; }
   std::string Copies(int i) {
-    return Conn::To((*this)[i].console_at)
-        .Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
+    return Conn::Connect((*this)[i].console_address)
+        .RequestHttp("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
   }
   // Name of the replication group of scheduler i's front, as scheduler `at` reports it (default: i itself).
   std::string Group(int i, int at = -1, const std::string& front = "faktory") {
@@ -48,6 +50,7 @@
     const auto n = all.find(mine);
     return n == all.npos ? "" : all.substr(n + 9, all.find('"', n + 9) - n - 9);
   }
+  // True if scheduler `at` runs the group's jobs.
   bool Holds(int at, const std::string& group) {
     const std::string all = Copies(at);
     const auto n = all.find("\"group\":\"" + group + "\"");
@@ -55,16 +58,18 @@
   }
   // Waits until one of the other two schedulers has taken over scheduler 0's jobs, and returns its index.
   int Successor(const std::string& group) {
-    int who = 0;
-    assert(Until([&] { return Holds(who = 1, group) || Holds(who = 2, group); }) &&
+    int index = 0;
+    assert(WaitUntil([&] { return Holds(index = 1, group) || Holds(index = 2, group); }) &&
            "no other scheduler took over");
-    return who;
+    return index;
   }
+  // Kills scheduler i and erases its stores.
   void KillWithDisk(int i) {
     (*this)[i].Kill();
     std::filesystem::remove_all(Disk(i));
     std::filesystem::create_directories(Disk(i));
   }
+  // Number of the group's voting members, as scheduler `at` reports it.
   int Voters(int at, const std::string& group) {
     const std::string all = Copies(at);
     const auto n = all.find("\"group\":\"" + group + "\"");
@@ -76,11 +81,11 @@
   }
 
  private:
-  std::string Config() const {
-    Site site;
-    site.console = "127.0.0.1:0";
-    site.targets = targets_;
-    return site.Json();
+  std::string ConfigJson() const {
+    Config config;
+    config.console = "127.0.0.1:0";
+    config.targets = targets_;
+    return config.Json();
   }
   std::string Options(int i) const {
     const auto at = [&](int n, const char* port) { return host_ + "." + std::to_string(n + 1) + ":" + port; };
@@ -95,33 +100,36 @@
   std::vector<std::unique_ptr<Program>> programs_;
 };
 
-Conn Hello(Program& p, const std::string& wid = "") {
-  Conn c = Conn::To(p.faktory_at);
-  c.Line();
-  assert(c.Say("HELLO {\"v\":2" + (wid.empty() ? "" : ",\"wid\":\"" + wid + "\"") + "}") == "+OK\r\n");
+// Connects and sends HELLO. With a wid, the connection is a worker's.
+Conn ConnectFaktory(Program& p, const std::string& wid = "") {
+  Conn c = Conn::Connect(p.faktory_address);
+  c.ReadLine();
+  assert(c.Command("HELLO {\"v\":2" + (wid.empty() ? "" : ",\"wid\":\"" + wid + "\"") + "}") == "+OK\r\n");
   return c;
 }
-std::string Push(const std::string& jid) {
+std::string PushCommand(const std::string& jid) {
   return "PUSH {\"jid\":\"" + jid + "\",\"jobtype\":\"once\",\"args\":[1]}";
 }
 std::string Jid(int n) { return "job-" + std::to_string(10'000 + n); }
+// Sends FETCH and returns the job; empty if there is none.
 std::string Fetch(Conn& worker) {
   worker.Send("FETCH default\r\n");
-  const std::string size = worker.Line();
-  return size == "$-1\r\n" ? "" : worker.Line();
+  const std::string size = worker.ReadLine();
+  return size == "$-1\r\n" ? "" : worker.ReadLine();
 }
 // Fetches and acknowledges jobs until there are none; returns how often each one was delivered.
 std::map<std::string, int> FetchAll(Conn& worker) {
-  std::map<std::string, int> seen;
+  std::map<std::string, int> deliveries;
   for (std::string job = Fetch(worker); !job.empty(); job = Fetch(worker)) {
     const auto at = job.find("\"jid\":\"") + 7;
     const std::string jid = job.substr(at, job.find('"', at) - at);
-    ++seen[jid];
-    assert(worker.Say("ACK {\"jid\":\"" + jid + "\"}") == "+OK\r\n");
+    ++deliveries[jid];
+    assert(worker.Command("ACK {\"jid\":\"" + jid + "\"}") == "+OK\r\n");
   }
-  return seen;
+  return deliveries;
 }
-std::string Run(const std::string& arguments) {
+// Runs the `copies` tool, which must succeed, and returns its output.
+std::string RunCopiesTool(const std::string& arguments) {
   FILE* out = popen((std::string(HERONWAY_PROGRAM) + " copies " + arguments + " 2>&1").c_str(), "r");
   assert(out != nullptr);
   std::string text;
@@ -131,8 +139,8 @@
   return text;
 }
 // Term and index of the last entry of a group's replica in a folder.
-std::pair<long, long> LastOf(const std::string& folder, const std::string& group) {
-  const std::string all = Run("show " + folder);
+std::pair<long, long> LastEntry(const std::string& folder, const std::string& group) {
+  const std::string all = RunCopiesTool("show " + folder);
   const auto n = all.find(group);
   if (n == all.npos) return {0, 0};
   std::pair<long, long> last;
@@ -142,178 +150,183 @@
 
 // Scheduler 0 acknowledges forty jobs, one is completed and one is running, and then it is killed and its
 // disk erased.
-void LoseAfterForty(Trio& trio) {
+void LoseAfterFortyJobs(ThreeSchedulers& schedulers) {
   {
-    Conn client = Hello(trio[0]);
-    for (int n = 0; n < 40; ++n) assert(client.Say(Push(Jid(n))) == "+OK\r\n");
-    Conn worker = Hello(trio[0], "w0");
+    Conn client = ConnectFaktory(schedulers[0]);
+    for (int n = 0; n < 40; ++n) assert(client.Command(PushCommand(Jid(n))) == "+OK\r\n");
+    Conn worker = ConnectFaktory(schedulers[0], "w0");
     const std::string done = Fetch(worker), runs = Fetch(worker);
-    assert(Has(done, Jid(0)) && Has(runs, Jid(1)));
-    assert(worker.Say("ACK {\"jid\":\"" + Jid(0) + "\"}") == "+OK\r\n");
+    assert(Contains(done, Jid(0)) && Contains(runs, Jid(1)));
+    assert(worker.Command("ACK {\"jid\":\"" + Jid(0) + "\"}") == "+OK\r\n");
   }
-  trio.KillWithDisk(0);
+  schedulers.KillWithDisk(0);
 }
 
 // After the scheduler and its disk are lost, a restore from a replica brings back every acknowledged job,
 // once.
-void LostDisk() {
-  Trio trio;
-  const std::string group = trio.Group(0);
-  LoseAfterForty(trio);
-  const int from = LastOf(trio.Disk(1), group) < LastOf(trio.Disk(2), group) ? 2 : 1;
-  assert(
-      Has(Run("restore " + trio.Disk(from) + " " + group + " " + trio.Disk(0) + "/faktory.db"), "is lost"));
-  trio[0].Start();
-  Conn client = Hello(trio[0]), worker = Hello(trio[0], "w1");
-  const std::map<std::string, int> seen = FetchAll(worker);
-  assert(seen.size() == 38 && "all but the completed job and the one that may be running");
-  for (const auto& [jid, times] : seen) assert(times == 1 && jid != Jid(0) && jid != Jid(1));
-  assert(client.Say(Push(Jid(0))) == "+OK\r\n" && Fetch(worker).empty() &&
+void RestoreAfterLostDisk() {
+  ThreeSchedulers schedulers;
+  const std::string group = schedulers.Group(0);
+  LoseAfterFortyJobs(schedulers);
+  const int from = LastEntry(schedulers.Disk(1), group) < LastEntry(schedulers.Disk(2), group) ? 2 : 1;
+  assert(Contains(RunCopiesTool("restore " + schedulers.Disk(from) + " " + group + " " + schedulers.Disk(0) +
+                                "/faktory.db"),
+                  "is lost"));
+  schedulers[0].Start();
+  Conn client = ConnectFaktory(schedulers[0]), worker = ConnectFaktory(schedulers[0], "w1");
+  const std::map<std::string, int> deliveries = FetchAll(worker);
+  assert(deliveries.size() == 38 && "all but the completed job and the one that may be running");
+  for (const auto& [jid, times] : deliveries) assert(times == 1 && jid != Jid(0) && jid != Jid(1));
+  assert(client.Command(PushCommand(Jid(0))) == "+OK\r\n" && Fetch(worker).empty() &&
          "a known job is acknowledged and not stored again");
-  assert(trio.Group(0) != group && Until([&] { return trio.Voters(0, trio.Group(0)) == 3; }) &&
+  assert(schedulers.Group(0) != group &&
+         WaitUntil([&] { return schedulers.Voters(0, schedulers.Group(0)) == 3; }) &&
          "the restored store is replicated in a new group");
 }
 
 // With one replica of three left no new job is acknowledged; with two it is again. A job that was not
 // acknowledged may be stored or not, but never twice.
-void Minority() {
-  Trio trio;
-  Conn client = Hello(trio[0]);
-  assert(client.Say(Push(Jid(0))) == "+OK\r\n");
-  trio[1].Kill();
-  trio[2].Kill();
+void MinorityOfReplicas() {
+  ThreeSchedulers schedulers;
+  Conn client = ConnectFaktory(schedulers[0]);
+  assert(client.Command(PushCommand(Jid(0))) == "+OK\r\n");
+  schedulers[1].Kill();
+  schedulers[2].Kill();
   const double asked = Now();
-  const std::string answer = client.Say(Push(Jid(1)));
-  assert(Has(answer, "-ERR") && Now() - asked < 4 &&
+  const std::string answer = client.Command(PushCommand(Jid(1)));
+  assert(Contains(answer, "-ERR") && Now() - asked < 4 &&
          "the client gets an error in time, as the job is not known to be stored");
-  assert(Until([&] { return Has(client.Say(Push(Jid(2))), "-ERR"); }));
-  trio[1].Start();
-  Conn again = Hello(trio[0]);
-  assert(Until([&] { return again.Say(Push(Jid(1))) == "+OK\r\n"; }) &&
+  assert(WaitUntil([&] { return Contains(client.Command(PushCommand(Jid(2))), "-ERR"); }));
+  schedulers[1].Start();
+  Conn again = ConnectFaktory(schedulers[0]);
+  assert(WaitUntil([&] { return again.Command(PushCommand(Jid(1))) == "+OK\r\n"; }) &&
          "a majority of the replicas is available again");
-  Conn worker = Hello(trio[0], "w0");
-  const std::map<std::string, int> seen = FetchAll(worker);
-  assert(seen.at(Jid(0)) == 1 && seen.at(Jid(1)) == 1);
-  for (const auto& [jid, times] : seen) assert(times == 1);
+  Conn worker = ConnectFaktory(schedulers[0], "w0");
+  const std::map<std::string, int> deliveries = FetchAll(worker);
+  assert(deliveries.at(Jid(0)) == 1 && deliveries.at(Jid(1)) == 1);
+  for (const auto& [jid, times] : deliveries) assert(times == 1);
 }
 
 // A scheduler killed and restarted on its own disk leads its group again, also after another one led it
 // meanwhile.
-void Restart() {
-  Trio trio;
-  const std::string group = trio.Group(0);
+void RestartOnOwnDisk() {
+  ThreeSchedulers schedulers;
+  const std::string group = schedulers.Group(0);
   for (int round = 0; round < 3; ++round) {
     {
-      Conn client = Hello(trio[0]);
-      for (int n = 0; n < 10; ++n) assert(client.Say(Push(Jid(10 * round + n))) == "+OK\r\n");
+      Conn client = ConnectFaktory(schedulers[0]);
+      for (int n = 0; n < 10; ++n) assert(client.Command(PushCommand(Jid(10 * round + n))) == "+OK\r\n");
     }
-    trio[0].Kill();
+    schedulers[0].Kill();
     if (round == 2) Pause(3);  // long enough for another scheduler to lead the group
-    trio[0].Start();
-    assert(trio.Group(0) == group);
+    schedulers[0].Start();
+    assert(schedulers.Group(0) == group);
   }
-  Conn worker = Hello(trio[0], "w0");
+  Conn worker = ConnectFaktory(schedulers[0], "w0");
   assert(FetchAll(worker).size() == 30);
 }
 
 // A scheduler is lost with its disk and no operator acts: another takes over and runs each acknowledged job
 // once. The ACK of a worker that was running a job counts there, whichever scheduler it reaches.
 void Takeover() {
-  Trio trio(300);
-  const std::string group = trio.Group(0);
-  LoseAfterForty(trio);
-  const int now = trio.Successor(group);
+  ThreeSchedulers schedulers(300);
+  const std::string group = schedulers.Group(0);
+  LoseAfterFortyJobs(schedulers);
+  const int successor = schedulers.Successor(group);
   // The worker sends its ACK to the scheduler that does not hold the job, which forwards it to the one that
   // does.
-  Conn third = Hello(trio[3 - now], "w0"), same = Hello(trio[now], "w0"), client = Hello(trio[now]);
-  assert(third.Say("ACK {\"jid\":\"" + Jid(1) + "\"}") == "+OK\r\n");
-  const std::string figures =
-      Conn::To(trio[now].console_at).Ask("GET /v1/metrics HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
-  assert(Has(figures, "copies.words_taken=1") && "the forwarded ACK is stored by the new leader");
-  const std::map<std::string, int> seen = FetchAll(same);
-  assert(seen.size() == 38 && "all but the completed job and the one that was running");
-  for (const auto& [jid, times] : seen) assert(times == 1 && jid != Jid(0) && jid != Jid(1));
-  for (int n = 0; n < 40; ++n) assert(client.Say(Push(Jid(n))) == "+OK\r\n");
+  Conn third = ConnectFaktory(schedulers[3 - successor], "w0"),
+       same = ConnectFaktory(schedulers[successor], "w0"), client = ConnectFaktory(schedulers[successor]);
+  assert(third.Command("ACK {\"jid\":\"" + Jid(1) + "\"}") == "+OK\r\n");
+  const std::string metrics =
+      Conn::Connect(schedulers[successor].console_address)
+          .RequestHttp("GET /v1/metrics HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
+  assert(Contains(metrics, "copies.words_taken=1") && "the forwarded ACK is stored by the new leader");
+  const std::map<std::string, int> deliveries = FetchAll(same);
+  assert(deliveries.size() == 38 && "all but the completed job and the one that was running");
+  for (const auto& [jid, times] : deliveries) assert(times == 1 && jid != Jid(0) && jid != Jid(1));
+  for (int n = 0; n < 40; ++n) assert(client.Command(PushCommand(Jid(n))) == "+OK\r\n");
   assert(Fetch(same).empty() && "all are known there, the running one as completed by the forwarded ACK");
-  trio[0].Start();
-  Conn anew = Hello(trio[0]);
-  assert(anew.Say(Push(Jid(50))) == "+OK\r\n" && trio.Group(0) != group);
+  schedulers[0].Start();
+  Conn restarted = ConnectFaktory(schedulers[0]);
+  assert(restarted.Command(PushCommand(Jid(50))) == "+OK\r\n" && schedulers.Group(0) != group);
 }
 
 // A scheduler is killed, loses its disk and restarts before another has taken over: its jobs still run, and a
 // client that pushes one again gets it acknowledged as known and not stored a second time.
-void BackAtOnce() {
-  Trio trio(300);
-  const std::string group = trio.Group(0);
-  LoseAfterForty(trio);
-  trio[0].Start();
-  Conn client = Hello(trio[0]);
+void RestartBeforeTakeover() {
+  ThreeSchedulers schedulers(300);
+  const std::string group = schedulers.Group(0);
+  LoseAfterFortyJobs(schedulers);
+  schedulers[0].Start();
+  Conn client = ConnectFaktory(schedulers[0]);
   for (int n = 0; n < 40; ++n)
-    assert(Until([&] { return client.Say(Push(Jid(n))) == "+OK\r\n"; }) &&
+    assert(WaitUntil([&] { return client.Command(PushCommand(Jid(n))) == "+OK\r\n"; }) &&
            "acknowledged once the scheduler can look the job up");
-  const int now = trio.Successor(group);
-  Conn here = Hello(trio[0], "w1"), other = Hello(trio[now], "w0");
+  const int successor = schedulers.Successor(group);
+  Conn here = ConnectFaktory(schedulers[0], "w1"), other = ConnectFaktory(schedulers[successor], "w0");
   assert(Fetch(here).empty() && "a known job was stored again by the restarted scheduler");
-  std::map<std::string, int> seen;
+  std::map<std::string, int> deliveries;
   const auto fetch = [&] {  // a job that was leased at the kill is delivered when that lease expires
-    for (const auto& [jid, times] : FetchAll(other)) seen[jid] += times;
-    return seen.size() >= 38;
+    for (const auto& [jid, times] : FetchAll(other)) deliveries[jid] += times;
+    return deliveries.size() >= 38;
   };
-  assert(Until(fetch, 20) && seen.size() == 38 &&
+  assert(WaitUntil(fetch, 20) && deliveries.size() == 38 &&
          "all but the completed job and the one that may be running");
-  for (const auto& [jid, times] : seen) assert(times == 1);
+  for (const auto& [jid, times] : deliveries) assert(times == 1);
 }
 
 // The same over HTTP: a client that retries with its key at the scheduler that lost its disk gets the result
 // from the scheduler that took over, and the worker gets no second hop.
-void SameKey() {
-  Peer worker;
-  Trio trio(300, Target("w0", worker.at));
-  const std::string group = trio.Group(0, -1, "http");
+void HttpRetryAfterTakeover() {
+  Listener worker;
+  ThreeSchedulers schedulers(300, Target("w0", worker.address));
+  const std::string group = schedulers.Group(0, -1, "http");
   const auto ask = [](const std::string& id) {
     return "POST /save HTTP/1.1\r\nHost: s\r\nReq-Id: " + id +
            "\r\nReq-Deadline-Ms: 3000\r\nIdempotency-Key: k1\r\nContent-Length: 2\r\n\r\nin";
   };
   {
-    Conn client = Conn::To(trio[0].at);
+    Conn client = Conn::Connect(schedulers[0].address);
     client.Send(ask("aa01"));
     Conn attempt = worker.Accept();
-    assert(Has(attempt.Http(), "Req-Id: aa01"));
+    assert(Contains(attempt.ReadHttp(), "Req-Id: aa01"));
     attempt.Send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-    trio.KillWithDisk(0);
+    schedulers.KillWithDisk(0);
   }
-  trio[0].Start();
-  const int now = trio.Successor(group);
-  assert(Has(Conn::To(trio[0].at).Ask(ask("aa02")), " 503 ") && "the job is still running");
+  schedulers[0].Start();
+  const int successor = schedulers.Successor(group);
+  assert(Contains(Conn::Connect(schedulers[0].address).RequestHttp(ask("aa02")), " 503 ") &&
+         "the job is still running");
   const std::string done = "{\"id\":\"aa01\",\"from\":\"w0\",\"state\":\"done\",\"result\":\"made\"}";
-  assert(Has(Conn::To(trio[now].at)
-                 .Ask("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
-                      std::to_string(done.size()) + "\r\n\r\n" + done),
-             " 200 "));
-  const std::string answer = Conn::To(trio[0].at).Ask(ask("aa03"));
-  assert(Has(answer, " 200 ") && Has(answer, "\r\n\r\nmade"));
-  assert(!worker.Called(0.5) && "the worker got a second hop");
+  assert(Contains(Conn::Connect(schedulers[successor].address)
+                      .RequestHttp("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
+                                   std::to_string(done.size()) + "\r\n\r\n" + done),
+                  " 200 "));
+  const std::string answer = Conn::Connect(schedulers[0].address).RequestHttp(ask("aa03"));
+  assert(Contains(answer, " 200 ") && Contains(answer, "\r\n\r\nmade"));
+  assert(!worker.HasConnection(0.5) && "the worker got a second hop");
 }
 
-// With all features enabled, workers that accept connections and do not respond must not use up the
-// descriptors for hops: a quarter of all descriptors is available for hops while other parts do not use their
-// share.
-void Egress() {
-  constexpr int kServers = 70, kQuarter = 64;
-  Peer servers[kServers];
+// Workers that accept connections and do not respond must not block hops to other workers for lack of
+// descriptors: with all features enabled, a quarter of all descriptors is available for hops while the other
+// parts do not use their share.
+void HungWorkers() {
+  constexpr int kWorkers = 70, kQuarter = 64;
+  Listener workers[kWorkers];
   std::string targets;
-  for (int n = 0; n < kServers; ++n)
-    targets += (n > 0 ? "," : "") + Target("w" + std::to_string(n), servers[n].at);
-  Trio trio(300, targets);
+  for (int n = 0; n < kWorkers; ++n)
+    targets += (n > 0 ? "," : "") + Target("w" + std::to_string(n), workers[n].address);
+  ThreeSchedulers schedulers(300, targets);
   std::vector<Conn> clients, attempts;
-  for (int n = 0; n < kServers; ++n) {
-    clients.push_back(Conn::To(trio[0].at));
+  for (int n = 0; n < kWorkers; ++n) {
+    clients.push_back(Conn::Connect(schedulers[0].address));
     clients.back().Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: e" + std::to_string(n) +
                         "\r\nReq-Deadline-Ms: 3000\r\nContent-Length: 2\r\n\r\nin");
   }
   for (const double until = Now() + 0.7; Now() < until;) {
-    for (Peer& server : servers) {
-      if (server.Called(0)) attempts.push_back(server.Accept());
+    for (Listener& worker : workers) {
+      if (worker.HasConnection(0)) attempts.push_back(worker.Accept());
     }
   }
   assert(attempts.size() >= kQuarter && "hops can use a quarter of the descriptors");
@@ -321,77 +334,78 @@
 
 // A scheduler restarts on its own disk after another has taken over: it gets back the jobs that are not
 // completed.
-void GivenBack() {
-  Trio trio(300);
-  const std::string group = trio.Group(0);
+void JobsReturnedAfterTakeover() {
+  ThreeSchedulers schedulers(300);
+  const std::string group = schedulers.Group(0);
   {
-    Conn client = Hello(trio[0]);
-    for (int n = 0; n < 20; ++n) assert(client.Say(Push(Jid(n))) == "+OK\r\n");
+    Conn client = ConnectFaktory(schedulers[0]);
+    for (int n = 0; n < 20; ++n) assert(client.Command(PushCommand(Jid(n))) == "+OK\r\n");
   }
-  std::map<std::string, int> seen;
+  std::map<std::string, int> deliveries;
   for (int round = 0; round < 2; ++round) {
-    trio[0].Kill();
-    const int now = trio.Successor(group);
-    Conn other = Hello(trio[now], "w" + std::to_string(now));
+    schedulers[0].Kill();
+    const int successor = schedulers.Successor(group);
+    Conn other = ConnectFaktory(schedulers[successor], "w" + std::to_string(successor));
     for (int n = 0; n < 5; ++n) {
       const std::string job = Fetch(other);
       const auto at = job.find("\"jid\":\"") + 7;
       const std::string jid = job.substr(at, job.find('"', at) - at);
-      ++seen[jid];
-      assert(other.Say("ACK {\"jid\":\"" + jid + "\"}") == "+OK\r\n");
+      ++deliveries[jid];
+      assert(other.Command("ACK {\"jid\":\"" + jid + "\"}") == "+OK\r\n");
     }
-    trio[0].Start();
-    assert(trio.Group(0) == group && trio.Holds(0, group) && !trio.Holds(now, group));
+    schedulers[0].Start();
+    assert(schedulers.Group(0) == group && schedulers.Holds(0, group) && !schedulers.Holds(successor, group));
     assert(Fetch(other).empty() && "the former leader still delivered a job");
   }
-  Conn worker = Hello(trio[0], "w0");
-  for (const auto& [jid, times] : FetchAll(worker)) seen[jid] += times;
-  assert(seen.size() == 20);
-  for (const auto& [jid, times] : seen) assert(times == 1);
+  Conn worker = ConnectFaktory(schedulers[0], "w0");
+  for (const auto& [jid, times] : FetchAll(worker)) deliveries[jid] += times;
+  assert(deliveries.size() == 20);
+  for (const auto& [jid, times] : deliveries) assert(times == 1);
 }
 
 // A scheduler is suspended for longer than an election takes, with waiting jobs, a pending FETCH and an
 // unanswered PUSH. After it resumes it must not deliver a job that another scheduler has run meanwhile.
-void Asleep() {
-  Trio trio(300);
-  const std::string group = trio.Group(0);
-  Conn client = Hello(trio[0]), late = Hello(trio[0]), worker = Hello(trio[0], "w0");
-  for (int n = 0; n < 20; ++n) assert(client.Say(Push(Jid(n))) == "+OK\r\n");
-  trio[0].Signal(SIGSTOP);
-  late.Send(Push(Jid(30)) + "\r\n");
+void SuspendedScheduler() {
+  ThreeSchedulers schedulers(300);
+  const std::string group = schedulers.Group(0);
+  Conn client = ConnectFaktory(schedulers[0]), late = ConnectFaktory(schedulers[0]),
+       worker = ConnectFaktory(schedulers[0], "w0");
+  for (int n = 0; n < 20; ++n) assert(client.Command(PushCommand(Jid(n))) == "+OK\r\n");
+  schedulers[0].Signal(SIGSTOP);
+  late.Send(PushCommand(Jid(30)) + "\r\n");
   worker.Send("FETCH default\r\n");
-  const int now = trio.Successor(group);
-  Conn other = Hello(trio[now], "w1");
+  const int successor = schedulers.Successor(group);
+  Conn other = ConnectFaktory(schedulers[successor], "w1");
   // Jobs that were leased to w0 when the scheduler was suspended are delivered only when those leases expire.
-  const std::map<std::string, int> seen = FetchAll(other);
-  assert(seen.size() >= 15);
-  trio[0].Signal(SIGCONT);
-  const std::string got = worker.Line();
-  assert((got == "$-1\r\n" || Has(got, "$")) &&
+  const std::map<std::string, int> deliveries = FetchAll(other);
+  assert(deliveries.size() >= 15);
+  schedulers[0].Signal(SIGCONT);
+  const std::string got = worker.ReadLine();
+  assert((got == "$-1\r\n" || Contains(got, "$")) &&
          "the FETCH gets no job, or one that this scheduler still holds");
-  if (got != "$-1\r\n") assert(!seen.contains(worker.Line().substr(8, 9)));
-  assert(Until([&] { return trio.Holds(0, group); }) && "the scheduler leads its group again");
-  const std::string answer = late.Line();
-  assert((answer == "+OK\r\n" || Has(answer, "-ERR")) && "the pending PUSH gets a reply");
-  Conn again = Hello(trio[0]), more = Hello(trio[0], "w2");
-  for (int n = 0; n < 20; ++n) assert(again.Say(Push(Jid(n))) == "+OK\r\n" && "the job is known");
-  assert(again.Say(Push(Jid(31))) == "+OK\r\n");
+  if (got != "$-1\r\n") assert(!deliveries.contains(worker.ReadLine().substr(8, 9)));
+  assert(WaitUntil([&] { return schedulers.Holds(0, group); }) && "the scheduler leads its group again");
+  const std::string answer = late.ReadLine();
+  assert((answer == "+OK\r\n" || Contains(answer, "-ERR")) && "the pending PUSH gets a reply");
+  Conn again = ConnectFaktory(schedulers[0]), more = ConnectFaktory(schedulers[0], "w2");
+  for (int n = 0; n < 20; ++n) assert(again.Command(PushCommand(Jid(n))) == "+OK\r\n" && "the job is known");
+  assert(again.Command(PushCommand(Jid(31))) == "+OK\r\n");
   const std::map<std::string, int> rest = FetchAll(more);
   assert(rest.contains(Jid(31)));
-  for (const auto& [jid, times] : rest) assert(times == 1 && !seen.contains(jid));
+  for (const auto& [jid, times] : rest) assert(times == 1 && !deliveries.contains(jid));
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  return e2e::Run(argc, argv,
-                  {{"lost_disk", LostDisk},
-                   {"minority", Minority},
-                   {"restart", Restart},
-                   {"takeover", Takeover},
-                   {"back_at_once", BackAtOnce},
-                   {"same_key", SameKey},
-                   {"egress", Egress},
-                   {"given_back", GivenBack},
-                   {"asleep", Asleep}});
+  return e2e::RunTest(argc, argv,
+                      {{"lost_disk", RestoreAfterLostDisk},
+                       {"minority", MinorityOfReplicas},
+                       {"restart", RestartOnOwnDisk},
+                       {"takeover", Takeover},
+                       {"back_at_once", RestartBeforeTakeover},
+                       {"same_key", HttpRetryAfterTakeover},
+                       {"egress", HungWorkers},
+                       {"given_back", JobsReturnedAfterTakeover},
+                       {"asleep", SuspendedScheduler}});
 }
--- a/tests/net/e2e_harness.h
+++ b/tests/net/e2e_harness.h
@@ -33,7 +33,9 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 inline void Pause(double seconds) { usleep(static_cast<useconds_t>(seconds * 1e6)); }
-inline bool Has(const std::string& text, const std::string& part) { return text.find(part) != text.npos; }
+inline bool Contains(const std::string& text, const std::string& part) {
+  return text.find(part) != text.npos;
+}
 // Waits until the descriptor is readable (data, a connection or end of stream); false after `seconds`.
 inline bool Readable(int fd, double seconds) {
   pollfd p{fd, POLLIN, 0};
@@ -45,26 +47,26 @@
  public:
   explicit Conn(int fd) : fd_(fd) {}
   // `narrow`: smallest receive buffer and segment, so that the program must write a large response in parts.
-  static Conn To(const std::string& at, bool narrow = false) {
+  static Conn Connect(const std::string& at, bool narrow = false) {
     sockaddr_in a{};
     a.sin_family = AF_INET;
     const auto colon = at.find(':');
     assert(inet_pton(AF_INET, at.substr(0, colon).c_str(), &a.sin_addr) == 1);
     a.sin_port = htons(static_cast<std::uint16_t>(std::stoi(at.substr(colon + 1))));
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const int segment = 88, held = 1;  // the smallest that the kernel allows
+    const int segment = 88, buffer = 1;  // the smallest that the kernel allows
     if (narrow) {
       assert(setsockopt(fd, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment) == 0 &&
-             setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &held, sizeof held) == 0);
+             setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer) == 0);
     }
     assert(connect(fd, reinterpret_cast<sockaddr*>(&a), sizeof a) == 0);
     return Conn(fd);
   }
-  Conn(Conn&& o) noexcept : fd_(std::exchange(o.fd_, -1)), in_(std::move(o.in_)) {}
-  Conn& operator=(Conn&& o) noexcept {
+  Conn(Conn&& other) noexcept : fd_(std::exchange(other.fd_, -1)), received_(std::move(other.received_)) {}
+  Conn& operator=(Conn&& other) noexcept {
     Close();
-    fd_ = std::exchange(o.fd_, -1);
-    in_ = std::move(o.in_);
+    fd_ = std::exchange(other.fd_, -1);
+    received_ = std::move(other.received_);
     return *this;
   }
   ~Conn() { Close(); }
@@ -76,48 +78,48 @@
     assert(send(fd_, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
   }
   // True if nothing arrives on the connection for `seconds`.
-  bool Quiet(double seconds) { return in_.empty() && !Readable(fd_, seconds); }
+  bool StaysSilent(double seconds) { return received_.empty() && !Readable(fd_, seconds); }
   // True if the program closes or resets the connection within `seconds` and no unread data is left.
-  bool Ended(double seconds = 5) {
+  bool PeerClosed(double seconds = 5) {
     char c;
     return Readable(fd_, seconds) && recv(fd_, &c, 1, MSG_PEEK) <= 0;
   }
   // True if the program has closed the connection without a reset.
-  bool Finished() {
+  bool PeerClosedCleanly() {
     char c;
     return recv(fd_, &c, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
   }
   // Reads one line, with its CRLF.
-  std::string Line() {
-    return Take([this] {
-      const auto n = in_.find("\r\n");
-      return n == in_.npos ? n : n + 2;
+  std::string ReadLine() {
+    return ReadUntil([this] {
+      const auto n = received_.find("\r\n");
+      return n == received_.npos ? n : n + 2;
     });
   }
   // Reads one HTTP message and returns head and body as text.
-  std::string Http() {
-    std::string head = Take([this] {
-      const auto n = in_.find("\r\n\r\n");
-      return n == in_.npos ? n : n + 4;
+  std::string ReadHttp() {
+    std::string head = ReadUntil([this] {
+      const auto n = received_.find("\r\n\r\n");
+      return n == received_.npos ? n : n + 4;
     });
     const auto at = head.find("Content-Length: ");
     const std::size_t size = at == head.npos ? 0 : std::stoul(head.substr(at + 16));
-    return head + Take([this, size] { return in_.size() < size ? std::string::npos : size; });
+    return head + ReadUntil([this, size] { return received_.size() < size ? std::string::npos : size; });
   }
   // Sends an HTTP request and returns the response.
-  std::string Ask(const std::string& message) {
+  std::string RequestHttp(const std::string& message) {
     Send(message);
-    return Http();
+    return ReadHttp();
   }
   // Sends a Faktory command line and returns the first line of the reply.
-  std::string Say(const std::string& line) {
+  std::string Command(const std::string& line) {
     Send(line + "\r\n");
-    return Line();
+    return ReadLine();
   }
 
  private:
   // Reads until `whole` returns a length other than npos, then removes and returns that many bytes.
-  std::string Take(const std::function<std::size_t()>& whole) {
+  std::string ReadUntil(const std::function<std::size_t()>& whole) {
     const double until = Now() + 5;
     std::size_t n;
     while ((n = whole()) == std::string::npos) {
@@ -125,32 +127,32 @@
       assert(Readable(fd_, until - Now()) && "the program sent nothing in time");
       const ssize_t got = recv(fd_, buffer, sizeof buffer, 0);
       assert(got > 0 && "the program closed the connection");
-      in_.append(buffer, static_cast<std::size_t>(got));
+      received_.append(buffer, static_cast<std::size_t>(got));
     }
-    std::string out = in_.substr(0, n);
-    in_.erase(0, n);
+    std::string out = received_.substr(0, n);
+    received_.erase(0, n);
     return out;
   }
   int fd_;
-  std::string in_;
+  std::string received_;
 };
 
 // A listening socket that plays a worker or discovery.
-class Peer {
+class Listener {
  public:
-  explicit Peer(int backlog = 64) { Listen(0, backlog); }
-  ~Peer() { Close(); }
+  explicit Listener(int backlog = 64) { Listen(0, backlog); }
+  ~Listener() { Close(); }
   void Close() {
     if (fd_ >= 0) close(std::exchange(fd_, -1));
   }
   // Listens again on the port that it had before Close().
-  void Reopen() { Listen(static_cast<std::uint16_t>(std::stoi(at.substr(at.find(':') + 1))), 64); }
+  void Reopen() { Listen(static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1))), 64); }
   // True if a connection is waiting to be accepted within `seconds`.
-  bool Called(double seconds) { return Readable(fd_, seconds); }
+  bool HasConnection(double seconds) { return Readable(fd_, seconds); }
   // Connects to this listener, which does not accept, until its backlog is full and a connect does not
   // complete. Returns all sockets, with the pending one.
-  std::vector<Conn> Fill() {
-    std::vector<Conn> up;
+  std::vector<Conn> FillBacklog() {
+    std::vector<Conn> connections;
     for (;;) {
       sockaddr_in a{};
       socklen_t size = sizeof a;
@@ -158,16 +160,17 @@
       const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
       connect(fd, reinterpret_cast<sockaddr*>(&a), size);
       pollfd p{fd, POLLOUT, 0};
-      const bool came = poll(&p, 1, 200) > 0;
-      up.emplace_back(fd);  // the pending one is kept too: it takes the next free place in the backlog
-      if (!came) return up;
+      const bool connected = poll(&p, 1, 200) > 0;
+      connections.emplace_back(
+          fd);  // the pending one is kept too: it takes the next free place in the backlog
+      if (!connected) return connections;
     }
   }
   Conn Accept() {
-    assert(Called(5) && "no connection arrived");
+    assert(HasConnection(5) && "no connection arrived");
     return Conn(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
-  std::string at;
+  std::string address;
 
  private:
   void Listen(std::uint16_t port, int backlog) {
@@ -181,7 +184,7 @@
     socklen_t size = sizeof a;
     assert(bind(fd_, reinterpret_cast<sockaddr*>(&a), size) == 0 && listen(fd_, backlog) == 0);
     assert(getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &size) == 0);
-    at = "127.0.0.1:" + std::to_string(ntohs(a.sin_port));
+    address = "127.0.0.1:" + std::to_string(ntohs(a.sin_port));
   }
   int fd_ = -1;
 };
@@ -198,11 +201,11 @@
     std::ofstream(folder_ + "/config.json") << config;
     std::ofstream(folder_ + "/faktory.json") << faktory;
     std::ofstream(folder_ + "/options.json") << options;
-    faktory_ = Has(faktory, "\"listen\"");
-    console_ = Has(config, "\"console\"");
+    faktory_ = Contains(faktory, "\"listen\"");
+    console_ = Contains(config, "\"console\"");
     // With no discovery at that address the program becomes ready after its connection attempts were refused.
     waits_until_ready_ =
-        Has(config, "\"discovery\":\"127.0.0.1:1\"") && Has(config, "\"lifecycle\":\"ready\"");
+        Contains(config, "\"discovery\":\"127.0.0.1:1\"") && Contains(config, "\"lifecycle\":\"ready\"");
     Start();
   }
   // Kills the process with SIGKILL, as a crash would. Start() runs it again on the same files.
@@ -221,17 +224,17 @@
       prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test leaves no process behind
       dup2(log[1], 2);
       close(log[0]);
-      const std::string c = folder_ + "/config.json", f = folder_ + "/faktory.json",
-                        o = folder_ + "/options.json";
-      execl(HERONWAY_PROGRAM, "heronway", "serve", "--config", c.c_str(), "--faktory", f.c_str(), "--options",
-            o.c_str(), nullptr);
+      const std::string config = folder_ + "/config.json", faktory = folder_ + "/faktory.json",
+                        options = folder_ + "/options.json";
+      execl(HERONWAY_PROGRAM, "heronway", "serve", "--config", config.c_str(), "--faktory", faktory.c_str(),
+            "--options", options.c_str(), nullptr);
       _exit(127);
     }
     close(log[1]);
     log_ = log[0];
-    at = ReadAddress("http");
-    if (faktory_) faktory_at = ReadAddress("faktory");
-    if (console_) console_at = ReadAddress("console");
+    address = ReadAddress("http");
+    if (faktory_) faktory_address = ReadAddress("faktory");
+    if (console_) console_address = ReadAddress("console");
     if (waits_until_ready_) WaitUntilReady();
   }
   ~Program() {
@@ -245,34 +248,34 @@
     rmdir(folder_.c_str());
   }
   void Signal(int number) { kill(pid_, number); }
-  // Suspends the process. Everything that the test sends before Thaw() has arrived when the process runs
+  // Suspends the process. Everything that the test sends before Resume() has arrived when the process runs
   // again.
-  void Freeze() {
+  void Suspend() {
     int status = 0;
     kill(pid_, SIGSTOP);
     assert(waitpid(pid_, &status, WUNTRACED) == pid_ && WIFSTOPPED(status));
   }
-  void Thaw() { kill(pid_, SIGCONT); }
+  void Resume() { kill(pid_, SIGCONT); }
   // True if the process still runs after `seconds`.
-  bool Lives(double seconds) {
+  bool StillRunsAfter(double seconds) {
     siginfo_t ended{};
     for (const double until = Now() + seconds; ended.si_pid == 0 && Now() < until; Pause(0.01))
       assert(waitid(P_PID, static_cast<id_t>(pid_), &ended, WEXITED | WNOHANG | WNOWAIT) == 0);
     return ended.si_pid == 0;
   }
-  std::ptrdiff_t Descriptors() const {
+  std::ptrdiff_t OpenDescriptors() const {
     const std::filesystem::directory_iterator open("/proc/" + std::to_string(pid_) + "/fd");
     return std::distance(begin(open), end(open));
   }
-  void Configure(const std::string& config) { std::ofstream(folder_ + "/config.json") << config; }
+  void WriteConfig(const std::string& config) { std::ofstream(folder_ + "/config.json") << config; }
   // Waits for the process to exit and returns its exit status. `log` then holds everything it logged.
-  int Wait() {
+  int WaitForExit() {
     ReadLog(10);
     int status = 0;
     assert(waitpid(std::exchange(pid_, -1), &status, 0) > 0 && WIFEXITED(status));
     return WEXITSTATUS(status);
   }
-  std::string at, faktory_at, console_at, log;
+  std::string address, faktory_address, console_address, log;
 
  private:
   // Appends to `log` until the pipe ends, for at most `seconds`.
@@ -288,9 +291,9 @@
   // Polls /ready as the platform does before it sends clients to a process.
   void WaitUntilReady() {
     constexpr double kMostSeconds = 5;
-    const std::string ask = "GET /ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
+    const std::string request = "GET /ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
     for (const double until = Now() + kMostSeconds; Now() < until; Pause(0.02)) {
-      if (Has(Conn::To(at).Ask(ask), " 200 ")) return;
+      if (Contains(Conn::Connect(address).RequestHttp(request), " 200 ")) return;
     }
     assert(false && "the program is not ready");
   }
@@ -305,10 +308,10 @@
         line += c;
         continue;
       }
-      const bool json = Has(line, "\"listening\"");
+      const bool json = Contains(line, "\"listening\"");
       const std::string start = json ? "\"at\":\"" : "listening front=" + front + " at=";
       const auto n = line.find(start);
-      if (n != line.npos && Has(line, front))
+      if (n != line.npos && Contains(line, front))
         return line.substr(n + start.size(), line.find_first_of(" \"", n + start.size()) - n - start.size());
       line.clear();
     }
@@ -321,37 +324,39 @@
 
 // Checks the hop rules that both fronts must keep. The test reports what its clients and workers observed;
 // each call asserts.
-class Audit {
+class HopAudit {
  public:
-  enum class Repeat { kFree, kSameZone, kNever };
-  void Sent(const std::string& id, const std::string& target, Repeat repeat = Repeat::kFree, int zone = 0) {
+  // Where a job that may have run can be retried.
+  enum class RetryScope { kAnyZone, kSameZone, kNever };
+  void HopSent(const std::string& id, const std::string& target, RetryScope scope = RetryScope::kAnyZone,
+               int zone = 0) {
     Request& r = requests_[id];
     assert(!r.answered && "a hop was sent after the final response");
-    assert(!r.out && "two hops of one request are in flight");
-    if (r.may_have_run) assert(repeat != Repeat::kNever && "retried a job that may have run");
-    if (r.may_have_run && repeat == Repeat::kSameZone)
+    assert(!r.in_flight && "two hops of one request are in flight");
+    if (r.may_have_run) assert(scope != RetryScope::kNever && "retried a job that may have run");
+    if (r.may_have_run && scope == RetryScope::kSameZone)
       assert(zone == r.zone && "retried in another zone a job that may have run");
     if (drained_.contains(target))
       assert(Now() < drained_[target] + 2 && "new work sent to a draining target");
-    r.out = true;
+    r.in_flight = true;
     r.zone = zone;
     ++r.hops;
   }
-  void Over(const std::string& id, bool may_have_run) {
-    requests_[id].out = false;
+  void HopEnded(const std::string& id, bool may_have_run) {
+    requests_[id].in_flight = false;
     requests_[id].may_have_run |= may_have_run;
   }
-  void Drains(const std::string& target) { drained_.emplace(target, Now()); }
-  void Answered(const std::string& id, bool refused = false, Repeat repeat = Repeat::kFree) {
+  void TargetDraining(const std::string& target) { drained_.emplace(target, Now()); }
+  void Answered(const std::string& id, bool shed = false, RetryScope scope = RetryScope::kAnyZone) {
     Request& r = requests_[id];
     assert(!std::exchange(r.answered, true) && "two final responses");
-    if (refused && r.may_have_run) assert(repeat == Repeat::kFree && "shed a job that may have run");
+    if (shed && r.may_have_run) assert(scope == RetryScope::kAnyZone && "shed a job that may have run");
   }
   int Hops(const std::string& id) { return requests_[id].hops; }
 
  private:
   struct Request {
-    bool out = false, may_have_run = false, answered = false;
+    bool in_flight = false, may_have_run = false, answered = false;
     int zone = 0, hops = 0;
   };
   std::map<std::string, Request> requests_;
@@ -360,11 +365,12 @@
 
 // The program's configuration, with three job classes: idempotent, deduplicated and at most once. `targets`:
 // entries of the route table, from Target(), separated by commas.
-struct Site {
+struct Config {
   std::string discovery = "127.0.0.1:1", targets, extra_limits;
   std::string listen = "127.0.0.1:0", console;  // an empty `console` means no console
   int sockets = 256, warm_up = 1, most_hops = 3, memory_mb = 192;
   int aim = 3'000'000, deadline = 4'000'000;  // microseconds
+  // The configuration file's text.
   std::string Json() const {
     const auto job = [this](const char* name, const char* effect) {
       return std::string("{\"name\":\"") + name + "\",\"aim\":" + std::to_string(aim) +
@@ -404,13 +410,13 @@
 
 // The configuration of most tests, as JSON: one target, w0, at address `at`.
 inline std::string OneTarget(const std::string& at) {
-  Site site;
-  site.targets = Target("w0", at);
-  return site.Json();
+  Config config;
+  config.targets = Target("w0", at);
+  return config.Json();
 }
 
 // Runs the test that the command line names; returns 2 if there is no such test.
-inline int Run(int argc, char** argv, const std::map<std::string, void (*)()>& tests) {
+inline int RunTest(int argc, char** argv, const std::map<std::string, void (*)()>& tests) {
   signal(SIGPIPE, SIG_IGN);
   const auto it = argc == 2 ? tests.find(argv[1]) : tests.end();
   if (it == tests.end()) return 2;
--- a/tests/net/http_e2e_test.cpp
+++ b/tests/net/http_e2e_test.cpp
@@ -7,271 +7,276 @@
 namespace {
 using namespace e2e;
 
-std::string Job(const std::string& id, const std::string& path = "/preview/p?q=1", int deadline_ms = 3000,
-                const std::string& body = "in") {
+std::string JobRequest(const std::string& id, const std::string& path = "/preview/p?q=1",
+                       int deadline_ms = 3000, const std::string& body = "in") {
   return "POST " + path + " HTTP/1.1\r\nHost: s\r\nReq-Id: " + id +
          "\r\nReq-Deadline-Ms: " + std::to_string(deadline_ms) + "\r\nIdempotency-Key: key-" + id +
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-const std::string kTaken = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+const std::string kAccepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-std::string News(Program& p, const std::string& id, const std::string& from, const std::string& rest) {
+// Posts a callback of worker `from` about job `id`. `rest`: the state and any further fields, as JSON.
+std::string PostCallback(Program& p, const std::string& id, const std::string& from,
+                         const std::string& rest) {
   const std::string body = "{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":" + rest + "}";
-  return Conn::To(p.at).Ask("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
-                            std::to_string(body.size()) + "\r\n\r\n" + body);
+  return Conn::Connect(p.address).RequestHttp("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
+                                              std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
 // Accepts the first hop that arrives at one of the n workers, since the module may choose any of them.
 // Returns the worker's index and the connection.
-std::pair<int, Conn> First(Peer* peers, int n) {
+std::pair<int, Conn> AcceptFirst(Listener* peers, int n) {
   const double until = Now() + 5;
   for (int i = 0;; i = (i + 1) % n) {
-    if (peers[i].Called(0.005)) return {i, peers[i].Accept()};
+    if (peers[i].HasConnection(0.005)) return {i, peers[i].Accept()};
     assert(Now() < until && "no hop arrived");
   }
 }
 
 // Has the worker serve one job and report free slots. Returns its connection, which the program keeps open.
-Conn Warm(Program& p, Peer& worker, const std::string& name) {
-  Conn client = Conn::To(p.at);
-  client.Send(Job("warm-" + name));
+Conn WarmUp(Program& p, Listener& worker, const std::string& name) {
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("warm-" + name));
   Conn hop = worker.Accept();
-  hop.Http();
-  hop.Send(kTaken);
-  News(p, "warm-" + name, name, "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
-  client.Http();
+  hop.ReadHttp();
+  hop.Send(kAccepted);
+  PostCallback(p, "warm-" + name, name, "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
+  client.ReadHttp();
   return hop;
 }
 
 // A callback that arrives before the worker's 202, and a second time, gives one response. The request reaches
 // the worker unchanged and the result reaches the client unchanged.
 void Served() {
-  Peer worker;
-  Program p(OneTarget(worker.at));
-  assert(Has(Conn::To(p.at).Ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 200 "));
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01"));
+  Listener worker;
+  Program p(OneTarget(worker.address));
+  assert(Contains(Conn::Connect(p.address).RequestHttp("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 200 "));
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
   Conn hop = worker.Accept();
-  const std::string got = hop.Http();
-  assert(Has(got, "POST /preview/p?q=1 HTTP/1.1\r\n") && Has(got, "Req-Id: aa01\r\n") &&
-         Has(got, "\r\n\r\nin"));
-  assert(Has(got, "Idempotency-Key: key-aa01\r\n") && Has(got, "Req-Deadline-Ms: "));
-  assert(Has(News(p, "aa01", "w0", "\"started\""), " 200 "));
-  assert(Has(
-      News(p, "aa01", "w0", "\"done\",\"result\":\"a \\\"b\\\" \\u0e01\",\"load\":{\"queue\":0,\"x0\":2}"),
-      " 200 "));
-  const std::string answer = client.Http();
-  assert(Has(answer, " 200 OK") && Has(answer, "\r\n\r\na \"b\" \u0e01"));
-  assert(Has(News(p, "aa01", "w0", "\"done\",\"result\":\"again\""), " 200 "));
-  hop.Send(kTaken);
-  assert(client.Quiet(0.1));
-  client.Send(Job("aa02"));
-  assert(Has(hop.Http(), "Req-Id: aa02") && "the connection is reused");
+  const std::string got = hop.ReadHttp();
+  assert(Contains(got, "POST /preview/p?q=1 HTTP/1.1\r\n") && Contains(got, "Req-Id: aa01\r\n") &&
+         Contains(got, "\r\n\r\nin"));
+  assert(Contains(got, "Idempotency-Key: key-aa01\r\n") && Contains(got, "Req-Deadline-Ms: "));
+  assert(Contains(PostCallback(p, "aa01", "w0", "\"started\""), " 200 "));
+  assert(Contains(PostCallback(p, "aa01", "w0",
+                               "\"done\",\"result\":\"a \\\"b\\\" \\u0e01\",\"load\":{\"queue\":0,\"x0\":2}"),
+                  " 200 "));
+  const std::string answer = client.ReadHttp();
+  assert(Contains(answer, " 200 OK") && Contains(answer, "\r\n\r\na \"b\" \u0e01"));
+  assert(Contains(PostCallback(p, "aa01", "w0", "\"done\",\"result\":\"again\""), " 200 "));
+  hop.Send(kAccepted);
+  assert(client.StaysSilent(0.1));
+  client.Send(JobRequest("aa02"));
+  assert(Contains(hop.ReadHttp(), "Req-Id: aa02") && "the connection is reused");
 }
 
 // A late `done` of a failed hop while the next hop is in flight is ignored; only the next hop's result
 // counts.
-void LateNews() {
-  Peer workers[2];
+void LateCallback() {
+  Listener workers[2];
   const std::string names[] = {"w0", "w1"};
-  Site site;
-  site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
-  Program p(site.Json());
-  Audit audit;
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01"));
-  auto [first, hop] = First(workers, 2);
-  hop.Http();
-  hop.Send(kTaken);
-  audit.Sent("aa01", names[first]);
-  audit.Over("aa01", true);
-  News(p, "aa01", names[first], "\"failed\"");
+  Config config;
+  config.targets = Target("w0", workers[0].address) + "," + Target("w1", workers[1].address);
+  Program p(config.Json());
+  HopAudit audit;
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
+  auto [first, hop] = AcceptFirst(workers, 2);
+  hop.ReadHttp();
+  hop.Send(kAccepted);
+  audit.HopSent("aa01", names[first]);
+  audit.HopEnded("aa01", true);
+  PostCallback(p, "aa01", names[first], "\"failed\"");
   Conn next = workers[1 - first].Accept();
-  next.Http();
-  next.Send(kTaken);
-  audit.Sent("aa01", names[1 - first]);
-  assert(Has(News(p, "aa01", names[first], "\"done\",\"result\":\"late\""), " 200 ") && client.Quiet(0.1));
-  News(p, "aa01", names[1 - first], "\"done\",\"result\":\"good\"");
-  assert(Has(client.Http(), "\r\n\r\ngood"));
+  next.ReadHttp();
+  next.Send(kAccepted);
+  audit.HopSent("aa01", names[1 - first]);
+  assert(Contains(PostCallback(p, "aa01", names[first], "\"done\",\"result\":\"late\""), " 200 ") &&
+         client.StaysSilent(0.1));
+  PostCallback(p, "aa01", names[1 - first], "\"done\",\"result\":\"good\"");
+  assert(Contains(client.ReadHttp(), "\r\n\r\ngood"));
   audit.Answered("aa01");
 }
 
 // A connection that breaks after the whole request was sent may have run the job: a job with a key is not
 // retried in another zone, and is not shed.
-void Reset() {
-  Peer workers[2];
-  Site site;
-  site.targets = Target("w0", workers[0].at, "a") + "," + Target("w1", workers[1].at, "b");
-  Program p(site.Json());
-  Audit audit;
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01", "/save"));
-  auto [first, hop] = First(workers, 2);
-  hop.Http();
-  audit.Sent("aa01", "w", Audit::Repeat::kSameZone, first);
+void ConnectionBreaks() {
+  Listener workers[2];
+  Config config;
+  config.targets = Target("w0", workers[0].address, "a") + "," + Target("w1", workers[1].address, "b");
+  Program p(config.Json());
+  HopAudit audit;
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01", "/save"));
+  auto [first, hop] = AcceptFirst(workers, 2);
+  hop.ReadHttp();
+  audit.HopSent("aa01", "w", HopAudit::RetryScope::kSameZone, first);
   hop.Close();
-  audit.Over("aa01", true);
-  const std::string answer = client.Http();
-  assert(Has(answer, " 502 ") && !workers[1 - first].Called(0.2));
+  audit.HopEnded("aa01", true);
+  const std::string answer = client.ReadHttp();
+  assert(Contains(answer, " 502 ") && !workers[1 - first].HasConnection(0.2));
   audit.Answered("aa01", false);
 }
 
 // After a reused connection breaks during a request, later hops use new connections.
-void Kept() {
-  Peer worker;
-  Program p(OneTarget(worker.at));
-  Conn hop = Warm(p, worker, "w0"), client = Conn::To(p.at);
-  client.Send(Job("aa01"));
-  assert(Has(hop.Http(), "Req-Id: aa01") && "the kept connection is reused until it breaks");
+void KeptConnectionBreaks() {
+  Listener worker;
+  Program p(OneTarget(worker.address));
+  Conn hop = WarmUp(p, worker, "w0"), client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
+  assert(Contains(hop.ReadHttp(), "Req-Id: aa01") && "the kept connection is reused until it breaks");
   hop.Close();
   for (const std::string id : {"aa02", "aa03"}) {
-    Conn other = Conn::To(p.at);
-    other.Send(Job(id));
+    Conn other = Conn::Connect(p.address);
+    other.Send(JobRequest(id));
     hop = worker.Accept();
-    assert(Has(hop.Http(), "Req-Id: " + id));
-    hop.Send(kTaken);
-    News(p, id, "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
-    assert(Has(other.Http(), " 200 "));
+    assert(Contains(hop.ReadHttp(), "Req-Id: " + id));
+    hop.Send(kAccepted);
+    PostCallback(p, id, "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
+    assert(Contains(other.ReadHttp(), " 200 "));
   }
 }
 
 // A hop whose worker sends nothing is abandoned and retried at another worker well before the client's
 // deadline.
-void Silent() {
-  Peer workers[2];
-  Site site;
-  site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
-  Program p(site.Json());
-  Audit audit;
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01"));
-  auto [first, hop] = First(workers, 2);
-  hop.Http();
-  audit.Sent("aa01", "w");
-  assert(hop.Ended(1.5) && "the abandoned hop's connection is closed");
-  audit.Over("aa01", true);
+void SilentWorker() {
+  Listener workers[2];
+  Config config;
+  config.targets = Target("w0", workers[0].address) + "," + Target("w1", workers[1].address);
+  Program p(config.Json());
+  HopAudit audit;
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
+  auto [first, hop] = AcceptFirst(workers, 2);
+  hop.ReadHttp();
+  audit.HopSent("aa01", "w");
+  assert(hop.PeerClosed(1.5) && "the abandoned hop's connection is closed");
+  audit.HopEnded("aa01", true);
   Conn next = workers[1 - first].Accept();
-  next.Http();
-  audit.Sent("aa01", "w");
-  next.Send(kTaken);
-  News(p, "aa01", first == 0 ? "w1" : "w0", "\"done\",\"result\":\"r\"");
-  assert(Has(client.Http(), " 200 "));
+  next.ReadHttp();
+  audit.HopSent("aa01", "w");
+  next.Send(kAccepted);
+  PostCallback(p, "aa01", first == 0 ? "w1" : "w0", "\"done\",\"result\":\"r\"");
+  assert(Contains(client.ReadHttp(), " 200 "));
   audit.Answered("aa01");
 }
 
 // At log level debug each step of a hop is logged: its target and what the worker reported. At the default
 // level it is not.
-void HopLines() {
+void HopLogLines() {
   for (const bool debug : {true, false}) {
-    Peer worker;
-    Program p(OneTarget(worker.at), "{\"enabled\":false}", debug ? "{\"log\":{\"level\":\"debug\"}}" : "{}");
-    Conn client = Conn::To(p.at);
-    client.Send(Job("aa01"));
+    Listener worker;
+    Program p(OneTarget(worker.address), "{\"enabled\":false}",
+              debug ? "{\"log\":{\"level\":\"debug\"}}" : "{}");
+    Conn client = Conn::Connect(p.address);
+    client.Send(JobRequest("aa01"));
     Conn hop = worker.Accept();
-    hop.Http();
-    hop.Send(kTaken);
-    News(p, "aa01", "w0", "\"done\",\"result\":\"r\"");
-    assert(Has(client.Http(), " 200 "));
+    hop.ReadHttp();
+    hop.Send(kAccepted);
+    PostCallback(p, "aa01", "w0", "\"done\",\"result\":\"r\"");
+    assert(Contains(client.ReadHttp(), " 200 "));
     p.Signal(SIGTERM);
-    assert(p.Wait() == 0);
-    assert(Has(p.log, "hop id=aa01 hop=0 to=" + worker.at) == debug);
-    assert(Has(p.log, "hop id=aa01 hop=-1 to=w0 step=done") == debug);
+    assert(p.WaitForExit() == 0);
+    assert(Contains(p.log, "hop id=aa01 hop=0 to=" + worker.address) == debug);
+    assert(Contains(p.log, "hop id=aa01 hop=-1 to=w0 step=done") == debug);
   }
 }
 
 // A refused connection cannot have run the job, so even an at-most-once job is retried at another worker.
-void NeverRan() {
-  Peer dead, worker;
+void RefusedConnection() {
+  Listener dead, worker;
   dead.Close();
-  Site site;
-  site.targets = Target("w0", dead.at) + "," + Target("w1", worker.at);
-  Program p(site.Json());
+  Config config;
+  config.targets = Target("w0", dead.address) + "," + Target("w1", worker.address);
+  Program p(config.Json());
   for (const std::string id : {"aa01", "aa02", "aa03", "aa04"}) {
-    Conn client = Conn::To(p.at);
-    client.Send(Job(id, "/once"));
+    Conn client = Conn::Connect(p.address);
+    client.Send(JobRequest(id, "/once"));
     Conn hop = worker.Accept();
-    hop.Http();
-    News(p, id, "w1", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
-    assert(Has(client.Http(), " 200 "));
+    hop.ReadHttp();
+    PostCallback(p, id, "w1", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
+    assert(Contains(client.ReadHttp(), " 200 "));
   }
 }
 
 // A worker accepts a job and reports nothing more: the client gets a response before its deadline, and the
 // worker a DELETE.
 void Deadline() {
-  Peer worker;
-  Program p(OneTarget(worker.at));
-  Conn client = Conn::To(p.at);
+  Listener worker;
+  Program p(OneTarget(worker.address));
+  Conn client = Conn::Connect(p.address);
   const double sent = Now();
-  client.Send(Job("aa01", "/once", 400));
+  client.Send(JobRequest("aa01", "/once", 400));
   Conn hop = worker.Accept();
-  hop.Http();
-  hop.Send(kTaken);
-  assert(Has(client.Http(), " 502 ") && Now() - sent < 0.4 && Now() - sent > 0.25);
-  assert(Has(hop.Http(), "DELETE /jobs/aa01 HTTP/1.1\r\n"));
+  hop.ReadHttp();
+  hop.Send(kAccepted);
+  assert(Contains(client.ReadHttp(), " 502 ") && Now() - sent < 0.4 && Now() - sent > 0.25);
+  assert(Contains(hop.ReadHttp(), "DELETE /jobs/aa01 HTTP/1.1\r\n"));
 }
 
 // When the client disconnects, a hop that the worker has not accepted yet is cancelled by closing its
 // connection.
-void ClientGone() {
-  Peer worker;
-  Program p(OneTarget(worker.at));
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01"));
+void ClientDisconnects() {
+  Listener worker;
+  Program p(OneTarget(worker.address));
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
   Conn hop = worker.Accept();
-  hop.Http();
+  hop.ReadHttp();
   client.Close();
-  assert(hop.Ended());
+  assert(hop.PeerClosed());
 }
 
 // Malformed and unsupported requests get error responses, and the program keeps serving.
 void BadInput() {
-  Peer worker;
-  Site site;
-  site.targets = Target("w0", worker.at);
-  site.extra_limits = ",\"mostHeld\":1";
-  Program p(site.Json());
-  const auto ask = [&p](const std::string& text) { return Conn::To(p.at).Ask(text); };
-  assert(
-      Has(ask("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: a1\r\nContent-Length: 65537\r\n\r\n"), " 413 "));
+  Listener worker;
+  Config config;
+  config.targets = Target("w0", worker.address);
+  config.extra_limits = ",\"mostHeld\":1";
+  Program p(config.Json());
+  const auto ask = [&p](const std::string& text) { return Conn::Connect(p.address).RequestHttp(text); };
+  assert(Contains(ask("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: a1\r\nContent-Length: 65537\r\n\r\n"),
+                  " 413 "));
   // The response is written while most of the body is still arriving; a reset must not discard it.
-  Conn large = Conn::To(p.at);
+  Conn large = Conn::Connect(p.address);
   large.Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: a1\r\nContent-Length: 200000\r\n\r\n");
   for (int i = 0; i < 20; ++i) large.Send(std::string(10'000, 'x')), Pause(0.002);
-  assert(Has(large.Http(), " 413 ") && large.Ended());
-  assert(Has(ask("nonsense\r\n\r\n"), " 400 "));
-  assert(Has(ask("GET / HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n"), " 431 "));
-  assert(Has(ask(Job("aa01", "/nobody")), " 404 "));
-  assert(Has(ask(Job("a/../b")), " 400 "));
-  assert(Has(ask("POST /preview HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline-Ms: x\r\nContent-Length: 0\r\n\r\n"),
-             " 400 "));
-  assert(Has(ask("POST /save HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 0\r\n\r\n"),
-             " 400 "));  // no idempotency key
-  assert(Has(ask("POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n[}"), " 400 "));
+  assert(Contains(large.ReadHttp(), " 413 ") && large.PeerClosed());
+  assert(Contains(ask("nonsense\r\n\r\n"), " 400 "));
+  assert(Contains(ask("GET / HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n"), " 431 "));
+  assert(Contains(ask(JobRequest("aa01", "/nobody")), " 404 "));
+  assert(Contains(ask(JobRequest("a/../b")), " 400 "));
+  assert(
+      Contains(ask("POST /preview HTTP/1.1\r\nReq-Id: a1\r\nReq-Deadline-Ms: x\r\nContent-Length: 0\r\n\r\n"),
+               " 400 "));
+  assert(Contains(ask("POST /save HTTP/1.1\r\nReq-Id: a1\r\nContent-Length: 0\r\n\r\n"),
+                  " 400 "));  // no idempotency key
+  assert(Contains(ask("POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n[}"), " 400 "));
   // A callback for an unknown job is rejected so that the worker retries it: during an upgrade the other
   // process may hold the job.
-  assert(Has(News(p, "ff", "w0", "\"done\""), " 503 "));
-  Conn half = Conn::To(p.at);
+  assert(Contains(PostCallback(p, "ff", "w0", "\"done\""), " 503 "));
+  Conn half = Conn::Connect(p.address);
   half.Send("POST /preview HTTP/1.1\r\nReq-Id: a");
   half.Close();
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01"));
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
   Conn hop = worker.Accept();
-  const std::string shed = ask(Job("aa02"));
-  assert(Has(shed, " 503 ") && Has(shed, "Retry-After: "));
-  News(p, "aa01", "w0", "\"done\",\"result\":\"r\"");
-  assert(Has(client.Http(), " 200 "));
+  const std::string shed = ask(JobRequest("aa02"));
+  assert(Contains(shed, " 503 ") && Contains(shed, "Retry-After: "));
+  PostCallback(p, "aa01", "w0", "\"done\",\"result\":\"r\"");
+  assert(Contains(client.ReadHttp(), " 200 "));
 }
 
 // Invalid requests and slow clients get an error or a close within 3 s of connecting and reach no worker. A
 // normal client is served meanwhile, with few descriptors.
 void BadClients() {
-  Peer worker;
-  Site site;
-  site.targets = Target("w0", worker.at);
-  site.sockets = 256;
-  site.memory_mb = 32;
-  Program p(site.Json());
+  Listener worker;
+  Config config;
+  config.targets = Target("w0", worker.address);
+  config.sockets = 256;
+  config.memory_mb = 32;
+  Program p(config.Json());
   const auto job = [](const std::string& head, const std::string& body = "in",
                       const char* path = "/preview") {
     return std::string("POST ") + path + " HTTP/1.1\r\n" + head + "\r\n" + body;
@@ -286,121 +291,123 @@
         job(id + "Req-Id: b2\r\n" + two), job(id + two + "Req-Key: xyz\r\n"),
         job(id + two + "Idempotency-Key: a\x80z\r\n"), job(id + two, "in", "/preview/\xff"),
         job(id + two, "in", ("/preview/" + std::string(6'000, 'p')).c_str())}) {
-    Conn conn = Conn::To(p.at);
-    const std::string answer = conn.Ask(bad);
-    assert((Has(answer, " 400 ") || Has(answer, " 413 ")) && conn.Ended(3));
+    Conn conn = Conn::Connect(p.address);
+    const std::string answer = conn.RequestHttp(bad);
+    assert((Contains(answer, " 400 ") || Contains(answer, " 413 ")) && conn.PeerClosed(3));
   }
   // Clients that send nothing, half a head, half a body or one byte at a time are all closed within 3 s and
   // do not delay other clients.
   std::vector<Conn> slow;
   const double began = Now();
-  for (int i = 0; i < 100; ++i) slow.push_back(Conn::To(p.at));
+  for (int i = 0; i < 100; ++i) slow.push_back(Conn::Connect(p.address));
   slow[0].Send("POST /preview HTTP/1.1\r\nReq-Id: a");
   slow[1].Send(job(id + "Content-Length: 50\r\n"));
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01", "/preview", 3900));
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01", "/preview", 3900));
   Conn hop = worker.Accept();
-  assert(Has(hop.Http(), "Req-Id: aa01"));
-  hop.Send(kTaken);
-  assert(Has(Conn::To(p.at).Ask(Job("aa01")), " 409 "));
-  for (int i = 0; i < 10; ++i) slow[2].Send(Job("b1").substr(i, 1)), Pause(0.2);
-  assert(Has(slow[0].Http(), " 408 ") && Has(slow[1].Http(), " 408 ") && Has(slow[2].Http(), " 408 "));
-  for (Conn& conn : slow) assert(conn.Ended(began + 3 - Now()));
-  News(p, "aa01", "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
-  assert(Has(client.Http(), " 200 "));
-  assert(Has(Conn::To(p.at).Ask(Job("aa01")), " 409 ") && "a request id must not be used again");
+  assert(Contains(hop.ReadHttp(), "Req-Id: aa01"));
+  hop.Send(kAccepted);
+  assert(Contains(Conn::Connect(p.address).RequestHttp(JobRequest("aa01")), " 409 "));
+  for (int i = 0; i < 10; ++i) slow[2].Send(JobRequest("b1").substr(i, 1)), Pause(0.2);
+  assert(Contains(slow[0].ReadHttp(), " 408 ") && Contains(slow[1].ReadHttp(), " 408 ") &&
+         Contains(slow[2].ReadHttp(), " 408 "));
+  for (Conn& conn : slow) assert(conn.PeerClosed(began + 3 - Now()));
+  PostCallback(p, "aa01", "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
+  assert(Contains(client.ReadHttp(), " 200 "));
+  assert(Contains(Conn::Connect(p.address).RequestHttp(JobRequest("aa01")), " 409 ") &&
+         "a request id must not be used again");
   // A worker that answers 400 is not treated as failed: the next request goes to it immediately.
-  Conn odd = Conn::To(p.at);
-  odd.Send(Job("aa02"));
+  Conn odd = Conn::Connect(p.address);
+  odd.Send(JobRequest("aa02"));
   hop = worker.Accept();  // the previous connection was closed as idle
-  assert(Has(hop.Http(), "Req-Id: aa02"));
+  assert(Contains(hop.ReadHttp(), "Req-Id: aa02"));
   hop.Send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
-  assert(Has(odd.Http(), " 400 ") && !worker.Called(0.05));
-  Conn next = Conn::To(p.at);
-  next.Send(Job("aa03"));
-  assert(Has(hop.Http(), "Req-Id: aa03"));
+  assert(Contains(odd.ReadHttp(), " 400 ") && !worker.HasConnection(0.05));
+  Conn next = Conn::Connect(p.address);
+  next.Send(JobRequest("aa03"));
+  assert(Contains(hop.ReadHttp(), "Req-Id: aa03"));
 }
 
 // A third of the descriptors is used by requests while idle connections fill the rest: all requests are
 // accepted and callbacks get through.
-void Third() {
-  Peer worker;
-  Program p(OneTarget(worker.at));
+void ThirdOfDescriptors() {
+  Listener worker;
+  Program p(OneTarget(worker.address));
   std::vector<Conn> clients, silent;
   for (int i = 0; i < 86; ++i) {
-    clients.push_back(Conn::To(p.at));
-    clients.back().Send(Job("c" + std::to_string(i), "/preview", 4000));
-    assert(clients.back().Quiet(0));
+    clients.push_back(Conn::Connect(p.address));
+    clients.back().Send(JobRequest("c" + std::to_string(i), "/preview", 4000));
+    assert(clients.back().StaysSilent(0));
   }
-  for (int i = 0; i < 300; ++i) silent.push_back(Conn::To(p.at));
-  assert(Has(News(p, "c0", "w0", "\"started\""), " 200 "));
-  for (Conn& c : clients) assert(c.Quiet(0) && "a request was rejected");
+  for (int i = 0; i < 300; ++i) silent.push_back(Conn::Connect(p.address));
+  assert(Contains(PostCallback(p, "c0", "w0", "\"started\""), " 200 "));
+  for (Conn& c : clients) assert(c.StaysSilent(0) && "a request was rejected");
 }
 
 // A worker declines a job before starting it and no hops are left: the job is shed at once with Retry-After,
 // although the client would wait for seconds more and the class is at most once.
 void ShedAtOnce() {
-  Peer worker;
-  Site site;
-  site.targets = Target("w0", worker.at);
-  site.most_hops = 1;
-  Program p(site.Json());
-  Audit audit;
-  Conn client = Conn::To(p.at);
+  Listener worker;
+  Config config;
+  config.targets = Target("w0", worker.address);
+  config.most_hops = 1;
+  Program p(config.Json());
+  HopAudit audit;
+  Conn client = Conn::Connect(p.address);
   const double sent = Now();
-  client.Send(Job("aa01", "/once"));
+  client.Send(JobRequest("aa01", "/once"));
   Conn hop = worker.Accept();
-  hop.Http();
-  audit.Sent("aa01", "w0", Audit::Repeat::kNever);
-  audit.Over("aa01", false);
+  hop.ReadHttp();
+  audit.HopSent("aa01", "w0", HopAudit::RetryScope::kNever);
+  audit.HopEnded("aa01", false);
   hop.Send("HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-  const std::string answer = client.Http();
-  audit.Answered("aa01", true, Audit::Repeat::kNever);
-  assert(Has(answer, " 503 ") && Has(answer, "Retry-After: ") && Now() - sent < 1);
+  const std::string answer = client.ReadHttp();
+  audit.Answered("aa01", true, HopAudit::RetryScope::kNever);
+  assert(Contains(answer, " 503 ") && Contains(answer, "Retry-After: ") && Now() - sent < 1);
 }
 
 // Discovery: the next watch request follows a response at once, a 503 causes a back-off, and a draining
 // target gets no new work.
-void Draining() {
-  Peer discovery, workers[2];
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
-  Program p(site.Json());
-  Audit audit;
+void DrainingTarget() {
+  Listener discovery, workers[2];
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", workers[0].address) + "," + Target("w1", workers[1].address);
+  Program p(config.Json());
+  HopAudit audit;
   Conn watch = discovery.Accept();
-  assert(Has(watch.Http(), "GET /v1/endpoints?from=4&hold_ms="));
+  assert(Contains(watch.ReadHttp(), "GET /v1/endpoints?from=4&hold_ms="));
   const std::string body = "{\"generation\":5,\"reset\":false,\"instances\":[" +
-                           Target("w0", workers[0].at, "a", "draining") + "]}";
-  const double told = Now();
+                           Target("w0", workers[0].address, "a", "draining") + "]}";
+  const double started = Now();
   watch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
-  assert(Has(watch.Http(), "from=5") && Now() - told < 0.2);
-  audit.Drains("w0");
+  assert(Contains(watch.ReadHttp(), "from=5") && Now() - started < 0.2);
+  audit.TargetDraining("w0");
   watch.Send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-  assert(watch.Quiet(0.1));
+  assert(watch.StaysSilent(0.1));
   for (const std::string id : {"aa01", "aa02", "aa03", "aa04", "aa05", "aa06"}) {
-    Conn client = Conn::To(p.at);
-    client.Send(Job(id));
+    Conn client = Conn::Connect(p.address);
+    client.Send(JobRequest(id));
     Conn hop = workers[1].Accept();
-    hop.Http();
-    audit.Sent(id, "w1");
-    News(p, id, "w1", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
-    assert(Has(client.Http(), " 200 "));
+    hop.ReadHttp();
+    audit.HopSent(id, "w1");
+    PostCallback(p, id, "w1", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
+    assert(Contains(client.ReadHttp(), " 200 "));
     audit.Answered(id);
   }
-  assert(!workers[0].Called(0.01) && Has(watch.Http(), "from=5"));
+  assert(!workers[0].HasConnection(0.01) && Contains(watch.ReadHttp(), "from=5"));
 }
 
 // SIGHUP: an invalid file changes nothing. A new discovery address is asked for its full list at once, and
 // again after an error; the old list is used until the new one, which lacks the old target, arrives. Requests
 // in progress are kept, and a reload also works while the program is stopping.
 void Reload() {
-  Peer old, discovery, later, workers[2];
-  Site site;
-  site.memory_mb = 32;  // the smallest memory limit that a deployment sets
-  site.discovery = old.at;
-  site.targets = Target("w0", workers[0].at);
-  Program p(site.Json());
+  Listener old, discovery, later, workers[2];
+  Config config;
+  config.memory_mb = 32;  // the smallest memory limit that a deployment sets
+  config.discovery = old.address;
+  config.targets = Target("w0", workers[0].address);
+  Program p(config.Json());
   const auto answer = [](int generation, const char* reset, const std::string& targets) {
     const std::string body = "{\"generation\":" + std::to_string(generation) + ",\"reset\":" + reset +
                              ",\"instances\":[" + targets + "]}";
@@ -410,124 +417,129 @@
     return answer(generation, "true", targets);
   };
   Conn before = old.Accept();
-  before.Http();
+  before.ReadHttp();
   before.Send(answer(4, "false", ""));
-  Conn client = Conn::To(p.at), next = Conn::To(p.at), hop = Warm(p, workers[0], "w0");
-  client.Send(Job("aa01"));
-  hop.Http();
-  hop.Send(kTaken);
-  News(p, "aa01", "w0", "\"started\"");
-  p.Configure("{\"listen\":");
+  Conn client = Conn::Connect(p.address), next = Conn::Connect(p.address), hop = WarmUp(p, workers[0], "w0");
+  client.Send(JobRequest("aa01"));
+  hop.ReadHttp();
+  hop.Send(kAccepted);
+  PostCallback(p, "aa01", "w0", "\"started\"");
+  p.WriteConfig("{\"listen\":");
   p.Signal(SIGHUP);
-  assert(Has(before.Http(), "from=4") && before.Quiet(0.2));
-  site.discovery = discovery.at;
-  p.Configure(site.Json());
-  const double told = Now();
+  assert(Contains(before.ReadHttp(), "from=4") && before.StaysSilent(0.2));
+  config.discovery = discovery.address;
+  p.WriteConfig(config.Json());
+  const double started = Now();
   p.Signal(SIGHUP);
   Conn watch = discovery.Accept();
-  assert(Has(watch.Http(), "GET /v1/endpoints HTTP/1.1\r\n") && before.Ended());
+  assert(Contains(watch.ReadHttp(), "GET /v1/endpoints HTTP/1.1\r\n") && before.PeerClosed());
   watch.Send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-  assert(Has(watch.Http(), "GET /v1/endpoints HTTP/1.1\r\n") && Now() - told < 1);
-  next.Send(Job("aa02"));
-  assert(Has(hop.Http(), "Req-Id: aa02"));
-  hop.Send(kTaken);
-  watch.Send(list(2, Target("w1", workers[1].at)));
-  assert(Has(watch.Http(), "from=2&hold_ms="));
-  Conn third = Conn::To(p.at);
-  third.Send(Job("aa03"));
+  assert(Contains(watch.ReadHttp(), "GET /v1/endpoints HTTP/1.1\r\n") && Now() - started < 1);
+  next.Send(JobRequest("aa02"));
+  assert(Contains(hop.ReadHttp(), "Req-Id: aa02"));
+  hop.Send(kAccepted);
+  watch.Send(list(2, Target("w1", workers[1].address)));
+  assert(Contains(watch.ReadHttp(), "from=2&hold_ms="));
+  Conn third = Conn::Connect(p.address);
+  third.Send(JobRequest("aa03"));
   Conn other = workers[1].Accept();
-  assert(Has(other.Http(), "Req-Id: aa03") && hop.Quiet(0.05));
+  assert(Contains(other.ReadHttp(), "Req-Id: aa03") && hop.StaysSilent(0.05));
   p.Signal(SIGTERM);
-  site.discovery = later.at;
-  p.Configure(site.Json());
+  config.discovery = later.address;
+  p.WriteConfig(config.Json());
   p.Signal(SIGHUP);
   Conn last = later.Accept();
-  assert(Has(last.Http(), "GET /v1/endpoints HTTP/1.1\r\n") && watch.Ended());
-  last.Send(list(1, Target("w1", workers[1].at)));
-  for (const std::string id : {"aa01", "aa02"}) News(p, id, "w0", "\"done\",\"result\":\"" + id + "\"");
-  News(p, "aa03", "w1", "\"done\",\"result\":\"aa03\"");
-  assert(Has(client.Http(), "aa01") && Has(next.Http(), "aa02") && Has(third.Http(), "aa03"));
-  assert(p.Wait() == 0 && Has(p.log, "reload failed=\"config: not JSON") && Has(p.log, "taken=4 served=4"));
+  assert(Contains(last.ReadHttp(), "GET /v1/endpoints HTTP/1.1\r\n") && watch.PeerClosed());
+  last.Send(list(1, Target("w1", workers[1].address)));
+  for (const std::string id : {"aa01", "aa02"})
+    PostCallback(p, id, "w0", "\"done\",\"result\":\"" + id + "\"");
+  PostCallback(p, "aa03", "w1", "\"done\",\"result\":\"aa03\"");
+  assert(Contains(client.ReadHttp(), "aa01") && Contains(next.ReadHttp(), "aa02") &&
+         Contains(third.ReadHttp(), "aa03"));
+  assert(p.WaitForExit() == 0 && Contains(p.log, "reload failed=\"config: not JSON") &&
+         Contains(p.log, "taken=4 served=4"));
 }
 
 // SIGTERM: requests in progress get their responses, late requests and callbacks are still accepted, and the
 // program then exits with 0.
-void Term() {
-  Peer worker;
-  Program p(OneTarget(worker.at));
-  Conn client = Conn::To(p.at), idle = Conn::To(p.at), late = Conn::To(p.at), hop = Warm(p, worker, "w0");
-  client.Send(Job("aa01"));
-  hop.Http();
-  hop.Send(kTaken);
-  News(p, "aa01", "w0", "\"started\"");
-  const double told = Now();
+void Sigterm() {
+  Listener worker;
+  Program p(OneTarget(worker.address));
+  Conn client = Conn::Connect(p.address), idle = Conn::Connect(p.address), late = Conn::Connect(p.address),
+       hop = WarmUp(p, worker, "w0");
+  client.Send(JobRequest("aa01"));
+  hop.ReadHttp();
+  hop.Send(kAccepted);
+  PostCallback(p, "aa01", "w0", "\"started\"");
+  const double started = Now();
   p.Signal(SIGTERM);
   Pause(0.1);
-  late.Send(Job("aa02", "/once"));
-  assert(Has(hop.Http(), "aa02"));
-  hop.Send(kTaken);
-  assert(idle.Quiet(1.2) &&
+  late.Send(JobRequest("aa02", "/once"));
+  assert(Contains(hop.ReadHttp(), "aa02"));
+  hop.Send(kAccepted);
+  assert(idle.StaysSilent(1.2) &&
          "idle connections stay open at first: their clients may have no other process to use");
-  assert(idle.Ended(0.6) && "idle connections are then closed, since they could bring new requests");
-  News(p, "aa02", "w0", "\"done\",\"result\":\"two\"");
-  assert(Has(late.Http(), "two"));
-  News(p, "aa01", "w0", "\"done\",\"result\":\"one\"");
-  assert(Has(client.Http(), "one"));
-  assert(p.Wait() == 0 && Now() - told > 0.7);
-  assert(Has(p.log, "counters http taken=3 served=3") && Has(p.log, "end=answered"));
+  assert(idle.PeerClosed(0.6) && "idle connections are then closed, since they could bring new requests");
+  PostCallback(p, "aa02", "w0", "\"done\",\"result\":\"two\"");
+  assert(Contains(late.ReadHttp(), "two"));
+  PostCallback(p, "aa01", "w0", "\"done\",\"result\":\"one\"");
+  assert(Contains(client.ReadHttp(), "one"));
+  assert(p.WaitForExit() == 0 && Now() - started > 0.7);
+  assert(Contains(p.log, "counters http taken=3 served=3") && Contains(p.log, "end=answered"));
 }
 
 // A planned stop with a short longest deadline: the platform kills the process that deadline plus 0.7 s after
 // SIGTERM. Clients keep sending on connections that are still open; every accepted request must have its
 // whole response before the kill.
-void StopBeforeTheKill(int deadline_ms) {
-  Peer worker;
-  Site site;
-  site.targets = Target("w0", worker.at);
-  site.aim = deadline_ms * 1000 / 2;
-  site.deadline = deadline_ms * 1000;
-  Program p(site.Json());
+void StopBeforeKill(int deadline_ms) {
+  Listener worker;
+  Config config;
+  config.targets = Target("w0", worker.address);
+  config.aim = deadline_ms * 1000 / 2;
+  config.deadline = deadline_ms * 1000;
+  Program p(config.Json());
   std::vector<Conn> clients;
   for (int i = 0; i < 8; ++i) {  // serve each client once, so that its connection is kept open
-    clients.push_back(Conn::To(p.at));
+    clients.push_back(Conn::Connect(p.address));
     const std::string id = "warm-" + std::to_string(i);
-    clients.back().Send(Job(id, "/preview", deadline_ms));
+    clients.back().Send(JobRequest(id, "/preview", deadline_ms));
     Conn hop = worker.Accept();
-    hop.Http();
+    hop.ReadHttp();
     hop.Send("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    News(p, id, "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
-    clients.back().Http();
+    PostCallback(p, id, "w0", "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}");
+    clients.back().ReadHttp();
   }
-  const double kill_after = deadline_ms / 1e3 + 0.7, told = Now();
+  const double kill_after = deadline_ms / 1e3 + 0.7, started = Now();
   p.Signal(SIGTERM);
   std::vector<Conn*> asked;
   for (std::size_t i = 0; i < clients.size(); ++i) {
     // Spread from the end of the period for late requests to just before the kill; no worker ever responds.
     const double at =
-        told + 0.65 + (kill_after - 0.68) * static_cast<double>(i) / static_cast<double>(clients.size());
+        started + 0.65 + (kill_after - 0.68) * static_cast<double>(i) / static_cast<double>(clients.size());
     Pause(std::max(0.0, at - Now()));
-    if (clients[i].Ended(0)) continue;  // closed between requests: the client would use another process
-    clients[i].Send(Job("late-" + std::to_string(i), "/preview", deadline_ms));
+    if (clients[i].PeerClosed(0)) continue;  // closed between requests: the client would use another process
+    clients[i].Send(JobRequest("late-" + std::to_string(i), "/preview", deadline_ms));
     asked.push_back(&clients[i]);
   }
   for (Conn* client : asked) {
-    assert(!client->Quiet(std::max(0.0, told + kill_after - Now())) && "no response by the time of the kill");
-    assert(Has(client->Http(), "HTTP/1.1 "));
+    assert(!client->StaysSilent(std::max(0.0, started + kill_after - Now())) &&
+           "no response by the time of the kill");
+    assert(Contains(client->ReadHttp(), "HTTP/1.1 "));
   }
-  assert(p.Wait() == 0 && Now() - told < kill_after + 0.05 && "the program exits before the kill");
+  assert(p.WaitForExit() == 0 && Now() - started < kill_after + 0.05 && "the program exits before the kill");
 }
-void TermShort() {
-  for (const int deadline_ms : {1200, 700, 300}) StopBeforeTheKill(deadline_ms);
+void SigtermWithShortDeadlines() {
+  for (const int deadline_ms : {1200, 700, 300}) StopBeforeKill(deadline_ms);
 }
 
 // With the scheduler's wall clock an hour ahead of the workers', a worker that has just started is still in
 // slow start and gets little of the traffic.
 void WrongClock() {
-  Peer workers[2];
-  Site site;
-  site.warm_up = 60'000'000;
-  site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
-  std::string json = site.Json();
+  Listener workers[2];
+  Config config;
+  config.warm_up = 60'000'000;
+  config.targets = Target("w0", workers[0].address) + "," + Target("w1", workers[1].address);
+  std::string json = config.Json();
   json.replace(json.find("\"coldFrom\":0.3"), 14, "\"coldFrom\":0.02");
   const auto last = json.rfind("\"startedAtMs\":0");
   json.replace(last, 15, "\"startedAtMs\":" + std::to_string((std::time(nullptr) - 1) * 1000));
@@ -539,38 +551,38 @@
   int hops[2] = {};
   for (int i = 0; i < 30; ++i) {
     const std::string id = "aa" + std::to_string(i);
-    Conn client = Conn::To(p.at);
-    client.Send(Job(id));
-    auto [which, hop] = First(workers, 2);
+    Conn client = Conn::Connect(p.address);
+    client.Send(JobRequest(id));
+    auto [which, hop] = AcceptFirst(workers, 2);
     ++hops[which];
-    hop.Http();
+    hop.ReadHttp();
     hop.Send("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    News(p, id, "w" + std::to_string(which), "\"done\",\"result\":\"r\"");
-    client.Http();
+    PostCallback(p, id, "w" + std::to_string(which), "\"done\",\"result\":\"r\"");
+    client.ReadHttp();
   }
   assert(hops[1] <= 4 && "a worker in slow start was treated as warm");
 }
 
 // A worker that restarts while discovery is down is in slow start: its port first refuses connections and
 // then accepts them. Guards against the fault that such a worker got the traffic of a warm one at once.
-void UnheardRestart() {
-  Peer workers[2];
-  Site site;  // no discovery listens at the default address
-  site.warm_up = 60'000'000;
-  site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
-  std::string json = site.Json();
+void RestartWhileDiscoveryIsDown() {
+  Listener workers[2];
+  Config config;  // no discovery listens at the default address
+  config.warm_up = 60'000'000;
+  config.targets = Target("w0", workers[0].address) + "," + Target("w1", workers[1].address);
+  std::string json = config.Json();
   json.replace(json.find("\"coldFrom\":0.3"), 14, "\"coldFrom\":0.02");
   Program p(json);
   int serial = 0;
   const auto serve = [&](int open) {  // serves one job; returns which of the first `open` workers got it
     const std::string id = "aa" + std::to_string(++serial);
-    Conn client = Conn::To(p.at);
-    client.Send(Job(id));
-    auto [which, attempt] = First(workers, open);
-    attempt.Http();
+    Conn client = Conn::Connect(p.address);
+    client.Send(JobRequest(id));
+    auto [which, attempt] = AcceptFirst(workers, open);
+    attempt.ReadHttp();
     attempt.Send("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    News(p, id, "w" + std::to_string(which), "\"done\",\"result\":\"r\"");
-    assert(Has(client.Http(), " 200 "));
+    PostCallback(p, id, "w" + std::to_string(which), "\"done\",\"result\":\"r\"");
+    assert(Contains(client.ReadHttp(), " 200 "));
     return which;
   };
   int before = 0;
@@ -589,109 +601,110 @@
 
 // More connections than descriptors: idle connections are closed, so a new client and its callback get
 // through.
-void Crowd() {
-  Peer worker;
-  Site site;
-  site.targets = Target("w0", worker.at);
-  site.sockets = 200;
-  Program p(site.Json());
-  std::vector<Conn> crowd;
-  for (int i = 0; i < 300; ++i) crowd.push_back(Conn::To(p.at));
-  Conn client = Conn::To(p.at);
-  client.Send(Job("aa01"));
+void MoreConnectionsThanDescriptors() {
+  Listener worker;
+  Config config;
+  config.targets = Target("w0", worker.address);
+  config.sockets = 200;
+  Program p(config.Json());
+  std::vector<Conn> idle_connections;
+  for (int i = 0; i < 300; ++i) idle_connections.push_back(Conn::Connect(p.address));
+  Conn client = Conn::Connect(p.address);
+  client.Send(JobRequest("aa01"));
   Conn hop = worker.Accept();
-  hop.Http();
-  assert(Has(News(p, "aa01", "w0", "\"done\",\"result\":\"r\""), " 200 ") && Has(client.Http(), " 200 "));
-  assert(crowd[0].Ended(1));
+  hop.ReadHttp();
+  assert(Contains(PostCallback(p, "aa01", "w0", "\"done\",\"result\":\"r\""), " 200 ") &&
+         Contains(client.ReadHttp(), " 200 "));
+  assert(idle_connections[0].PeerClosed(1));
 }
 
 // Many clients that connect at once are accepted at the configured rate. A client connected before is served
 // meanwhile, and one that connects after them waits only for its turn.
-void Paced() {
-  Site site;
-  site.sockets = 1024;
-  Program p(site.Json(), "{\"enabled\":false}",
+void AcceptRate() {
+  Config config;
+  config.sockets = 1024;
+  Program p(config.Json(), "{\"enabled\":false}",
             "{\"limits\":{\"enabled\":true,\"accepts\":{\"per_s\":100,\"burst\":10}}}");
   const std::string ready = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
-  Conn before = Conn::To(p.at);
+  Conn before = Conn::Connect(p.address);
   before.Send(ready);
-  before.Http();
-  std::vector<Conn> crowd;
-  for (int i = 0; i < 100; ++i) crowd.push_back(Conn::To(p.at));
+  before.ReadHttp();
+  std::vector<Conn> idle_connections;
+  for (int i = 0; i < 100; ++i) idle_connections.push_back(Conn::Connect(p.address));
   const double began = Now();
-  Conn behind = Conn::To(p.at);
+  Conn behind = Conn::Connect(p.address);
   behind.Send(ready);
   before.Send(ready);
-  before.Http();
+  before.ReadHttp();
   assert(Now() - began < 0.3 && "new connections delayed a client that is already connected");
-  behind.Http();
+  behind.ReadHttp();
   const double waited = Now() - began;
   assert(waited > 0.5 && waited < 2 && "100 connections ahead of it at 100 per second, less the burst");
   p.Signal(SIGTERM);
-  assert(p.Wait() == 0 && !Has(p.log, "paced=0"));
+  assert(p.WaitForExit() == 0 && !Contains(p.log, "paced=0"));
 }
 
 // A rule file sets the class, rejects requests and limits the rate by key. SIGHUP loads a new file as a whole
 // or not at all.
 void Rules() {
-  Peer worker;
+  Listener worker;
   const std::string file = "/tmp/heronway-e2e-rules-" + std::to_string(getpid());
   const auto write = [&file](const std::string& text) { std::ofstream(file) << text; };
   write(
       "rate slow: 1 per 10s\n"
       "rule bad { when glob(header(\"User-Agent\"), \"Bad*\") refuse \"not you\" }\n"
       "rule old { when segment(1) == \"old-name\" class \"preview\" rate slow by header(\"X-Who\") }\n");
-  Program p(OneTarget(worker.at), "{\"enabled\":false}", "{\"match\":{\"rules\":\"" + file + "\"}}");
+  Program p(OneTarget(worker.address), "{\"enabled\":false}", "{\"match\":{\"rules\":\"" + file + "\"}}");
   const auto ask = [&p](const std::string& id, const std::string& path, const std::string& more) {
-    Conn c = Conn::To(p.at);
+    Conn c = Conn::Connect(p.address);
     c.Send("POST /" + path + " HTTP/1.1\r\nHost: s\r\nReq-Id: " + id + "\r\nReq-Deadline-Ms: 3000\r\n" +
            more + "Content-Length: 0\r\n\r\n");
     return c;
   };
-  assert(Has(ask("a1", "preview", "User-Agent: Bad/1\r\n").Http(), "HTTP/1.1 403"));
+  assert(Contains(ask("a1", "preview", "User-Agent: Bad/1\r\n").ReadHttp(), "HTTP/1.1 403"));
   Conn first = ask("a2", "old-name", "X-Who: me\r\n");
   Conn hop = worker.Accept();
-  assert(Has(hop.Http(), "POST /old-name HTTP/1.1"));
-  const std::string limited = ask("a3", "old-name", "X-Who: me\r\n").Http();
-  assert(Has(limited, "HTTP/1.1 429") &&
-         (Has(limited, "Retry-After: 9.") || Has(limited, "Retry-After: 10.")));
+  assert(Contains(hop.ReadHttp(), "POST /old-name HTTP/1.1"));
+  const std::string limited = ask("a3", "old-name", "X-Who: me\r\n").ReadHttp();
+  assert(Contains(limited, "HTTP/1.1 429") &&
+         (Contains(limited, "Retry-After: 9.") || Contains(limited, "Retry-After: 10.")));
   write("rule bad { when glob(header(\"User-Agent\"), ");  // an incomplete file
   p.Signal(SIGHUP);
   Pause(0.2);
-  assert(Has(ask("a4", "preview", "User-Agent: Bad/1\r\n").Http(), "HTTP/1.1 403"));
+  assert(Contains(ask("a4", "preview", "User-Agent: Bad/1\r\n").ReadHttp(), "HTTP/1.1 403"));
   write("rule all { refuse \"closed\" }\n");
   p.Signal(SIGHUP);
   Pause(0.2);
-  assert(Has(ask("a5", "preview", "").Http(), "closed"));
-  News(p, "a2", "w0",
-       "\"done\",\"result\":\"r\"");  // a request in progress keeps the rules it was accepted under
-  assert(Has(first.Http(), "HTTP/1.1 200"));
+  assert(Contains(ask("a5", "preview", "").ReadHttp(), "closed"));
+  PostCallback(p, "a2", "w0",
+               "\"done\",\"result\":\"r\"");  // a request in progress keeps the rules it was accepted under
+  assert(Contains(first.ReadHttp(), "HTTP/1.1 200"));
   std::remove(file.c_str());
   p.Signal(SIGTERM);
-  assert(p.Wait() == 0 && Has(p.log, "expected"));
+  assert(p.WaitForExit() == 0 && Contains(p.log, "expected"));
 }
 
 // Rules that select targets: a job goes only to those, and reloaded rules also apply to targets already in
 // the route table.
 void Targets() {
-  Peer first, second;
+  Listener first, second;
   const std::string file = "/tmp/heronway-e2e-targets-" + std::to_string(getpid());
   const auto write = [&file](const std::string& text) { std::ofstream(file) << text; };
   write("rule b { when segment(1) == \"preview\" targets zone \"b\" tenant header(\"X-Who\") }\n");
-  Site site;
-  std::string labelled = Target("w0", first.at, "a");
+  Config config;
+  std::string labelled = Target("w0", first.address, "a");
   labelled.insert(labelled.size() - 1, ",\"labels\":[\"quick\"]");
-  site.targets = labelled + "," + Target("w1", second.at, "b");
-  Program p(site.Json(), "{\"enabled\":false}", "{\"match\":{\"rules\":\"" + file + "\"}}");
-  const auto serve = [&p](Peer& target, const std::string& name, const std::string& id) {
-    Conn c = Conn::To(p.at);
+  config.targets = labelled + "," + Target("w1", second.address, "b");
+  Program p(config.Json(), "{\"enabled\":false}", "{\"match\":{\"rules\":\"" + file + "\"}}");
+  const auto serve = [&p](Listener& target, const std::string& name, const std::string& id) {
+    Conn c = Conn::Connect(p.address);
     c.Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: " + id +
            "\r\nReq-Deadline-Ms: 3000\r\nX-Who: us\r\nContent-Length: 0\r\n\r\n");
     Conn hop = target.Accept();
-    assert(Has(hop.Http(), "Req-Id: " + id));
+    assert(Contains(hop.ReadHttp(), "Req-Id: " + id));
     hop.Send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-    News(p, id, name, "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":2}");
-    assert(Has(c.Http(), "HTTP/1.1 200"));
+    PostCallback(p, id, name, "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":2}");
+    assert(Contains(c.ReadHttp(), "HTTP/1.1 200"));
   };
   serve(second, "w1", "a1");
   serve(second, "w1", "a2");
@@ -702,35 +715,35 @@
   serve(first, "w0", "a4");
   std::remove(file.c_str());
   p.Signal(SIGTERM);
-  assert(p.Wait() == 0);
-  assert(Has(p.log, "tenant http tenant=us taken=4 served=4") && Has(p.log, "rule rule=b hits=2"));
+  assert(p.WaitForExit() == 0);
+  assert(Contains(p.log, "tenant http tenant=us taken=4 served=4") && Contains(p.log, "rule rule=b hits=2"));
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  return e2e::Run(argc, argv,
-                  {{"served", Served},
-                   {"targets", Targets},
-                   {"late_news", LateNews},
-                   {"reset", Reset},
-                   {"silent", Silent},
-                   {"kept", Kept},
-                   {"never_ran", NeverRan},
-                   {"deadline", Deadline},
-                   {"client_gone", ClientGone},
-                   {"bad_input", BadInput},
-                   {"bad_clients", BadClients},
-                   {"third", Third},
-                   {"shed_at_once", ShedAtOnce},
-                   {"draining", Draining},
-                   {"reload", Reload},
-                   {"paced", Paced},
-                   {"rules", Rules},
-                   {"term", Term},
-                   {"term_short", TermShort},
-                   {"wrong_clock", WrongClock},
-                   {"unheard_restart", UnheardRestart},
-                   {"crowd", Crowd},
-                   {"hop_lines", HopLines}});
+  return e2e::RunTest(argc, argv,
+                      {{"served", Served},
+                       {"targets", Targets},
+                       {"late_news", LateCallback},
+                       {"reset", ConnectionBreaks},
+                       {"silent", SilentWorker},
+                       {"kept", KeptConnectionBreaks},
+                       {"never_ran", RefusedConnection},
+                       {"deadline", Deadline},
+                       {"client_gone", ClientDisconnects},
+                       {"bad_input", BadInput},
+                       {"bad_clients", BadClients},
+                       {"third", ThirdOfDescriptors},
+                       {"shed_at_once", ShedAtOnce},
+                       {"draining", DrainingTarget},
+                       {"reload", Reload},
+                       {"paced", AcceptRate},
+                       {"rules", Rules},
+                       {"term", Sigterm},
+                       {"term_short", SigtermWithShortDeadlines},
+                       {"wrong_clock", WrongClock},
+                       {"unheard_restart", RestartWhileDiscoveryIsDown},
+                       {"crowd", MoreConnectionsThanDescriptors},
+                       {"hop_lines", HopLogLines}});
 }
--- a/tests/net/order_test.cpp
+++ b/tests/net/order_test.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 using e2e::Conn;
-using e2e::Has;
+using e2e::Contains;
+using e2e::Listener;
 using e2e::Now;
-using e2e::Peer;
 using e2e::Target;
 
-e2e::Site OneTarget(const Peer& worker) {
-  e2e::Site site;
-  site.targets = Target("w0", worker.at);
+e2e::Config OneTarget(const Listener& worker) {
+  e2e::Config site;
+  site.targets = Target("w0", worker.address);
   return site;
 }
 std::string CallbackRequest(const std::string& id, const std::string& from, const std::string& rest) {
@@ -30,7 +30,7 @@
 }
 
 struct SteppedFront {
-  explicit SteppedFront(const e2e::Site& site, bool may_cancel = true) {
+  explicit SteppedFront(const e2e::Config& site, bool may_cancel = true) {
     std::string json = site.Json();
     json.insert(json.find("\"mayCancel\""), "\"dialTimeout\":5000000,");
     if (!may_cancel) json.replace(json.find("\"mayCancel\":true"), 16, "\"mayCancel\":false");
@@ -38,11 +38,11 @@
     context.log_connections = false;
     front =
         std::make_unique<http::Front>(context, config, options, false, nullptr, [this] { drained = true; });
-    if (site.discovery != e2e::Site().discovery) return;  // the test acts as discovery
+    if (site.discovery != e2e::Config().discovery) return;  // the test acts as discovery
     EXPECT_TRUE(RunUntil([this] { return front->Ready(); }));
   }
   Conn Client() {
-    Conn client = Conn::To(net::ToText(front->address()));
+    Conn client = Conn::Connect(net::ToText(front->address()));
     RunUntil([this, before = accepted()] { return accepted() > before; });
     return client;
   }
@@ -57,12 +57,12 @@
   }
   // Runs the loop until the connection has something to read, and reads it.
   std::string ReadNext(Conn& conn) {
-    EXPECT_TRUE(RunUntil([&conn] { return !conn.Quiet(0); }));
-    return conn.Quiet(0) ? "" : conn.Http();
+    EXPECT_TRUE(RunUntil([&conn] { return !conn.StaysSilent(0); }));
+    return conn.StaysSilent(0) ? "" : conn.ReadHttp();
   }
   // Accepts the next hop at the worker and reads its request.
-  Conn NextHop(Peer& worker) {
-    EXPECT_TRUE(RunUntil([&worker] { return worker.Called(0); }));
+  Conn NextHop(Listener& worker) {
+    EXPECT_TRUE(RunUntil([&worker] { return worker.HasConnection(0); }));
     Conn hop = worker.Accept();
     ReadNext(hop);
     return hop;
@@ -70,7 +70,7 @@
   void SendCallback(const std::string& id, const std::string& from, const std::string& rest) {
     Conn call = Client();
     call.Send(CallbackRequest(id, from, rest));
-    EXPECT_TRUE(Has(ReadNext(call), " 200 "));
+    EXPECT_TRUE(Contains(ReadNext(call), " 200 "));
   }
   std::size_t accepted() const { return front->connection_count(); }
 
@@ -98,22 +98,22 @@
 const std::string kDone = "\"done\",\"result\":\"r\",\"load\":{\"queue\":0,\"x0\":9}";
 
 // Expects that the worker received no hop: connections may be opened, but no byte sent.
-void ExpectNoHop(SteppedFront& s, Peer& worker) {
+void ExpectNoHop(SteppedFront& s, Listener& worker) {
   s.RunFor(0.1);
-  while (worker.Called(0)) {
+  while (worker.HasConnection(0)) {
     Conn hop = worker.Accept();
-    EXPECT_TRUE(hop.Quiet(0.05) || hop.Ended(0)) << "a hop was sent";
+    EXPECT_TRUE(hop.StaysSilent(0.05) || hop.PeerClosed(0)) << "a hop was sent";
   }
 }
 
 // The client disconnects while the connection to its target is being established. With and without mayCancel.
 TEST(EventOrder, AClientDisconnectsWhileItsTargetIsDialled) {
   for (const bool may_cancel : {true, false}) {
-    Peer worker;
+    Listener worker;
     SteppedFront s(OneTarget(worker), may_cancel);
     Conn client = s.Client();
     client.Send(JobRequest("aa01"));
-    ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0); }));
+    ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0); }));
     client.Close();
     ExpectNoHop(s, worker);
   }
@@ -122,7 +122,7 @@
 // The request and the client's close arrive together, and the front reads the request first.
 TEST(EventOrder, AClientThatDisconnectsBeforeItsRequestIsReadCausesNoHop) {
   for (const bool may_cancel : {true, false}) {
-    Peer worker;
+    Listener worker;
     SteppedFront s(OneTarget(worker), may_cancel);
     Conn client = s.Client();
     client.Send(JobRequest("aa01"));
@@ -135,7 +135,7 @@
 // data.
 TEST(EventOrder, AClientThatSendsMuchAndDisconnectsCausesNoHop) {
   for (const bool may_cancel : {true, false}) {
-    Peer worker;
+    Listener worker;
     SteppedFront s(OneTarget(worker), may_cancel);
     Conn client = s.Client();
     client.Send(JobRequest("aa01") +
@@ -148,20 +148,20 @@
 // The target's 202 has arrived unread when the client disconnects. Closing the connection no longer cancels
 // the hop, so it must be cancelled by its id.
 TEST(EventOrder, AHopIsCancelledByIdIfItsTargets202IsUnread) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   client.Send(JobRequest("aa01"));
   Conn hop = s.NextHop(worker);
   hop.Send(kAccepted);
   client.Close();  // newer, so it is read first
-  EXPECT_TRUE(Has(s.ReadNext(hop), "DELETE /jobs/aa01"));
+  EXPECT_TRUE(Contains(s.ReadNext(hop), "DELETE /jobs/aa01"));
 }
 
 // A target reports its result as the hop times out and is being cancelled. The result is the answer, and no
 // second answer follows.
 TEST(EventOrder, AResultThatCrossesTheCancellationIsTheAnswer) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client(), call = s.Client();
   client.Send(JobRequest("aa01", "/once", 500));
@@ -172,61 +172,62 @@
   // The loop does not run meanwhile: in its next iteration the timeout comes first and the callback is read
   // after.
   e2e::Pause(0.5);
-  EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
-  EXPECT_TRUE(Has(s.ReadNext(hop), "DELETE /jobs/aa01")) << "the test did not force the order";
+  EXPECT_TRUE(Contains(s.ReadNext(client), " 200 "));
+  EXPECT_TRUE(Contains(s.ReadNext(hop), "DELETE /jobs/aa01")) << "the test did not force the order";
   s.RunFor(0.1);
-  EXPECT_TRUE(client.Quiet(0));
+  EXPECT_TRUE(client.StaysSilent(0));
 }
 
 // A connection is not established within the time in which a target must accept a hop. Nothing was sent, so
 // even a job that must not be retried goes to another target.
 TEST(EventOrder, AHopWhoseDialFailedHasNotRun) {
-  Peer full(0), worker;  // the first one's accept queue is full
-  const std::vector<Conn> waiting = full.Fill();
-  e2e::Site site;
-  site.targets = Target("w0", full.at, "a") + "," + Target("w1", worker.at, "b");
+  Listener full(0), worker;  // the first one's accept queue is full
+  const std::vector<Conn> waiting = full.FillBacklog();
+  e2e::Config site;
+  site.targets = Target("w0", full.address, "a") + "," + Target("w1", worker.address, "b");
   SteppedFront s(site);
   Conn client = s.Client();
   client.Send(JobRequest("aa01", "/once"));
-  ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0) || !client.Quiet(0); }));
-  ASSERT_TRUE(worker.Called(0)) << client.Http();
+  ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0) || !client.StaysSilent(0); }));
+  ASSERT_TRUE(worker.HasConnection(0)) << client.ReadHttp();
   Conn hop = worker.Accept();
-  EXPECT_TRUE(Has(s.ReadNext(hop), "Req-Id: aa01"));
+  EXPECT_TRUE(Contains(s.ReadNext(hop), "Req-Id: aa01"));
 }
 
 // A target that reports a hop's result by callback but never responds to the hop itself must not keep a
 // connection open indefinitely.
 TEST(EventOrder, AHopCompletedByCallbackKeepsNoConnectionOpen) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   client.Send(JobRequest("aa01"));
   Conn hop = s.NextHop(worker);
   s.SendCallback("aa01", "w0", kDone);
-  EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
-  EXPECT_TRUE(s.RunUntil([&] { return hop.Ended(0); }, 2)) << "the connection still waits for a response";
+  EXPECT_TRUE(Contains(s.ReadNext(client), " 200 "));
+  EXPECT_TRUE(s.RunUntil([&] { return hop.PeerClosed(0); }, 2))
+      << "the connection still waits for a response";
 }
 
 // A request and discovery's update that the target drains are read in one iteration, the request first. The
 // connection is established after both.
 TEST(EventOrder, ATargetThatDrainsWhileItIsDialledGetsNoHop) {
-  Peer discovery, worker;
-  e2e::Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", worker.at);
+  Listener discovery, worker;
+  e2e::Config site;
+  site.discovery = discovery.address;
+  site.targets = Target("w0", worker.address);
   SteppedFront s(site);
-  ASSERT_TRUE(s.RunUntil([&] { return discovery.Called(0); }));
+  ASSERT_TRUE(s.RunUntil([&] { return discovery.HasConnection(0); }));
   Conn watch = discovery.Accept();
   s.ReadNext(watch);
   const std::string same = "{\"generation\":4,\"reset\":false,\"instances\":[]}";
   watch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(same.size()) + "\r\n\r\n" + same);
   s.ReadNext(watch);
   Conn client = s.Client();
-  const std::string body =
-      "{\"generation\":5,\"reset\":false,\"instances\":[" + Target("w0", worker.at, "a", "draining") + "]}";
+  const std::string body = "{\"generation\":5,\"reset\":false,\"instances\":[" +
+                           Target("w0", worker.address, "a", "draining") + "]}";
   watch.Send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   client.Send(JobRequest("aa01"));  // newer, so it is read first
-  ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0); })) << "the test did not force the order";
+  ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0); })) << "the test did not force the order";
   ExpectNoHop(s, worker);
 }
 
@@ -236,7 +237,7 @@
   net::BufferPool pool{64};
   net::Loop loop;
   net::StreamContext context{loop, pool, false};
-  Peer worker;
+  Listener worker;
   http::Egress egress(context, {1'000'000, 5'000'000, 8});
   std::vector<http::CallResult::Kind> ends;
   const auto done = [&ends](const http::CallResult& result) { ends.push_back(result.kind); };
@@ -248,26 +249,26 @@
   const auto hop = [&drains]() -> std::optional<std::string> {
     return drains ? std::nullopt : std::optional<std::string>("GET /fresh HTTP/1.1\r\n\r\n");
   };
-  egress.Call(7, *net::ParseAddress(worker.at), hop, 0, false, done);
+  egress.Call(7, *net::ParseAddress(worker.address), hop, 0, false, done);
   drains = true;
   ASSERT_TRUE(run_until([&ends] { return !ends.empty(); }));
   EXPECT_EQ(ends.back(), http::CallResult::Kind::kWithdrawn);
   Conn to = worker.Accept();
-  EXPECT_TRUE(to.Quiet(0.05));
+  EXPECT_TRUE(to.StaysSilent(0.05));
   egress.Call(
-      7, *net::ParseAddress(worker.at), [] { return std::string("DELETE /jobs/a HTTP/1.1\r\n\r\n"); }, 0,
+      7, *net::ParseAddress(worker.address), [] { return std::string("DELETE /jobs/a HTTP/1.1\r\n\r\n"); }, 0,
       true, done);
-  ASSERT_TRUE(run_until([&to] { return !to.Quiet(0); }));
-  EXPECT_TRUE(Has(to.Http(), "DELETE /jobs/a"));
+  ASSERT_TRUE(run_until([&to] { return !to.StaysSilent(0); }));
+  EXPECT_TRUE(Contains(to.ReadHttp(), "DELETE /jobs/a"));
 }
 
 // Req-Deadline-Ms is the time left when the hop is sent, not when it was selected.
 TEST(EventOrder, AHopCarriesTheTimeLeftWhenItIsSent) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   client.Send(JobRequest("aa01", "/preview", 2000));
-  ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0); }));
+  ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0); }));
   e2e::Pause(0.3);  // the connection is established, and the front has not noticed yet
   Conn hop = worker.Accept();
   const std::string got = s.ReadNext(hop);
@@ -281,50 +282,50 @@
 TEST(EventOrder, AnIdleConnectionWithUnreadDataIsNotReused) {
   for (const std::string late :
        {"", "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"}) {
-    Peer worker;
+    Listener worker;
     SteppedFront s(OneTarget(worker));
     Conn client = s.Client();
     client.Send(JobRequest("aa01", "/once"));
-    ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0); }));
+    ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0); }));
     Conn kept = worker.Accept();
     s.ReadNext(kept);
     kept.Send(kAccepted);
     s.SendCallback("aa01", "w0", kDone);
-    ASSERT_TRUE(Has(s.ReadNext(client), " 200 "));
+    ASSERT_TRUE(Contains(s.ReadNext(client), " 200 "));
     s.RunFor(0.05);
     late.empty() ? kept.Close() : kept.Send(late);
     client.Send(JobRequest("aa02", "/once"));  // newer, so it is read first
-    ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0) || !client.Quiet(0); }));
-    ASSERT_TRUE(worker.Called(0)) << client.Http();
+    ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0) || !client.StaysSilent(0); }));
+    ASSERT_TRUE(worker.HasConnection(0)) << client.ReadHttp();
     Conn fresh = worker.Accept();
-    EXPECT_TRUE(Has(s.ReadNext(fresh), "Req-Id: aa02"));
+    EXPECT_TRUE(Contains(s.ReadNext(fresh), "Req-Id: aa02"));
     s.SendCallback("aa02", "w0", kDone);
-    EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
+    EXPECT_TRUE(Contains(s.ReadNext(client), " 200 "));
   }
 }
 
 // A graceful shutdown closes idle connections, but a request that has arrived by then is served.
 TEST(EventOrder, AShutdownServesAnUnreadRequestOnAnIdleConnection) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   client.Send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-  ASSERT_TRUE(Has(s.ReadNext(client), " 200 "));
+  ASSERT_TRUE(Contains(s.ReadNext(client), " 200 "));
   s.front->Drain();
   client.Send(JobRequest("aa01"));
   // The loop does not run meanwhile: the timeout and the request fall into one iteration.
   e2e::Pause(kTimeToClose);
-  ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0) || client.Ended(0); }));
-  ASSERT_TRUE(worker.Called(0)) << "closed with an unread request";
+  ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0) || client.PeerClosed(0); }));
+  ASSERT_TRUE(worker.HasConnection(0)) << "closed with an unread request";
   Conn hop = worker.Accept();
   s.ReadNext(hop);
   s.SendCallback("aa01", "w0", kDone);
-  EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
+  EXPECT_TRUE(Contains(s.ReadNext(client), " 200 "));
 }
 
 // The last byte of a request arrives before its timeout and is read after it: the request is served.
 TEST(EventOrder, ARequestCompleteInTimeIsServedHoweverLateItIsRead) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   std::string job = JobRequest("aa01");
@@ -333,15 +334,15 @@
   s.RunFor(0.05);
   client.Send(job.substr(20));
   e2e::Pause(static_cast<double>(http::Front::kFirstRequestTime) / 1e6);  // the loop does not run meanwhile
-  ASSERT_TRUE(s.RunUntil([&] { return worker.Called(0) || !client.Quiet(0); }));
-  ASSERT_TRUE(worker.Called(0)) << client.Http();
+  ASSERT_TRUE(s.RunUntil([&] { return worker.HasConnection(0) || !client.StaysSilent(0); }));
+  ASSERT_TRUE(worker.HasConnection(0)) << client.ReadHttp();
   Conn hop = worker.Accept();
-  EXPECT_TRUE(Has(s.ReadNext(hop), "Req-Id: aa01"));
+  EXPECT_TRUE(Contains(s.ReadNext(hop), "Req-Id: aa01"));
 }
 
 // While a graceful shutdown closes connections, a pipelined request that has been read is served first.
 TEST(EventOrder, AShutdownServesAPipelinedRequest) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   client.Send(JobRequest("aa01"));
@@ -352,33 +353,33 @@
   client.Send(JobRequest("aa02"));
   s.RunFor(0.05);  // it is read and buffered
   s.SendCallback("aa01", "w0", kDone);
-  ASSERT_TRUE(Has(s.ReadNext(client), " 200 "));
-  ASSERT_TRUE(s.RunUntil([&] { return !hop.Quiet(0) || client.Ended(0); }));
-  ASSERT_FALSE(client.Ended(0)) << "closed with a request already read";
-  EXPECT_TRUE(Has(s.ReadNext(hop), "Req-Id: aa02"));
+  ASSERT_TRUE(Contains(s.ReadNext(client), " 200 "));
+  ASSERT_TRUE(s.RunUntil([&] { return !hop.StaysSilent(0) || client.PeerClosed(0); }));
+  ASSERT_FALSE(client.PeerClosed(0)) << "closed with a request already read";
+  EXPECT_TRUE(Contains(s.ReadNext(hop), "Req-Id: aa02"));
   s.SendCallback("aa02", "w0", kDone);
-  EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
-  EXPECT_TRUE(s.RunUntil([&] { return client.Ended(0); }));
+  EXPECT_TRUE(Contains(s.ReadNext(client), " 200 "));
+  EXPECT_TRUE(s.RunUntil([&] { return client.PeerClosed(0); }));
 }
 
 // A second SIGTERM must not restart the shutdown's timers.
 TEST(EventOrder, ASecondShutdownSignalChangesNothing) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client();
   client.Send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
-  ASSERT_TRUE(Has(s.ReadNext(client), " 200 "));
+  ASSERT_TRUE(Contains(s.ReadNext(client), " 200 "));
   s.front->Drain();
   // The loop does not run meanwhile: the second signal comes before the first one's timeout is handled.
   e2e::Pause(kTimeToClose);
   s.front->Drain();
-  EXPECT_TRUE(s.RunUntil([&] { return client.Ended(0); }, kTimeToClose / 2));
+  EXPECT_TRUE(s.RunUntil([&] { return client.PeerClosed(0); }, kTimeToClose / 2));
 }
 
 // The final response on a connection is sent while input is unread. The peer must be able to read it,
 // followed by the end of the connection and not a reset. Its pipelined request is not served.
 TEST(EventOrder, AFinalResponseIsNotLostToAReset) {
-  Peer worker;
+  Listener worker;
   SteppedFront s(OneTarget(worker));
   Conn client = s.Client(), call = s.Client();
   std::string last = JobRequest("aa01");
@@ -389,10 +390,10 @@
   s.RunFor(0.05);
   client.Send(JobRequest("aa02"));  // older than the callback, so it is read after it
   call.Send(CallbackRequest("aa01", "w0", kDone));
-  EXPECT_TRUE(Has(s.ReadNext(client), " 200 "));
+  EXPECT_TRUE(Contains(s.ReadNext(client), " 200 "));
   s.RunFor(0.05);
-  EXPECT_TRUE(client.Finished()) << "reset instead of closed";
-  EXPECT_FALSE(worker.Called(0)) << "served after the connection was closed";
+  EXPECT_TRUE(client.PeerClosedCleanly()) << "reset instead of closed";
+  EXPECT_FALSE(worker.HasConnection(0)) << "served after the connection was closed";
 }
 
 }  // namespace
--- a/tests/net/watch_e2e_test.cpp
+++ b/tests/net/watch_e2e_test.cpp
@@ -7,9 +7,10 @@
 
 // Seconds after a change in discovery at which the scheduler must know it. New work for a removed or draining
 // target must stop a grace period after that.
-constexpr double kCountsAsTold = 6;
+constexpr double kKnownWithin = 6;
 
-std::string Changes(int generation, const std::string& targets, const char* reset = "false") {
+// A response of discovery with changed entries, or with the full list if `reset` is true.
+std::string ChangesResponse(int generation, const std::string& targets, const char* reset = "false") {
   const std::string body = "{\"generation\":" + std::to_string(generation) + ",\"reset\":" + reset +
                            ",\"instances\":[" + targets + "]}";
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -17,40 +18,41 @@
 
 // A watch that gets no response from the start, and a drain right after it was opened: a new watch is opened
 // on another connection early enough for the drain to be known within 6 s.
-void Silent() {
-  Peer discovery, workers[2];
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", workers[0].at) + "," + Target("w1", workers[1].at);
-  Program p(site.Json());
+void SilentWatch() {
+  Listener discovery, workers[2];
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", workers[0].address) + "," + Target("w1", workers[1].address);
+  Program p(config.Json());
   Conn silent = discovery.Accept();
-  assert(Has(silent.Http(), "from=4&hold_ms="));
+  assert(Contains(silent.ReadHttp(), "from=4&hold_ms="));
   const double drains = Now();
-  assert(discovery.Called(kCountsAsTold) && "a silent watch was not reopened in time");
+  assert(discovery.HasConnection(kKnownWithin) && "a silent watch was not reopened in time");
   Conn watch = discovery.Accept();
-  assert(Has(watch.Http(), "from=4&hold_ms=") && silent.Ended());
-  watch.Send(Changes(5, Target("w0", workers[0].at, "a", "draining")));
-  assert(Has(watch.Http(), "from=5") && Now() - drains < kCountsAsTold);
-  Conn client = Conn::To(p.at);
+  assert(Contains(watch.ReadHttp(), "from=4&hold_ms=") && silent.PeerClosed());
+  watch.Send(ChangesResponse(5, Target("w0", workers[0].address, "a", "draining")));
+  assert(Contains(watch.ReadHttp(), "from=5") && Now() - drains < kKnownWithin);
+  Conn client = Conn::Connect(p.address);
   client.Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: aa01\r\nContent-Length: 0\r\n\r\n");
   workers[1].Accept();
-  assert(!workers[0].Called(0.05));
+  assert(!workers[0].HasConnection(0.05));
 }
 
 // Discovery is down for a long time: the back-off stays short enough for a change to be known within 6 s
 // after discovery is back, however many calls failed.
-void Down() {
-  Peer discovery, worker;
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", worker.at);
-  Program p(site.Json());
+void DiscoveryDown() {
+  Listener discovery, worker;
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", worker.address);
+  Program p(config.Json());
   discovery.Accept().Close();
   for (int i = 0; i < 5; ++i) {
     const double failed = Now();
-    assert(discovery.Called(kCountsAsTold / 2) && "the back-off is longer than a change may stay unknown");
+    assert(discovery.HasConnection(kKnownWithin / 2) &&
+           "the back-off is longer than a change may stay unknown");
     Conn call = discovery.Accept();
-    call.Http();
+    call.ReadHttp();
     if (i % 2 == 0)
       call.Send("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     call.Close();
@@ -60,171 +62,174 @@
 
 // A change with an older generation than the known one leaves the route table as it is, and the full list is
 // requested, since changes may have been missed.
-void Older() {
-  Peer discovery, workers[2];
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", workers[0].at, "a", "draining") + "," + Target("w1", workers[1].at);
-  Program p(site.Json());
+void OlderGeneration() {
+  Listener discovery, workers[2];
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", workers[0].address, "a", "draining") + "," + Target("w1", workers[1].address);
+  Program p(config.Json());
   Conn watch = discovery.Accept();
-  assert(Has(watch.Http(), "from=4"));
-  watch.Send(Changes(4, ""));
-  assert(Has(watch.Http(), "from=4"));
-  watch.Send(Changes(3, Target("w0", workers[0].at)));
+  assert(Contains(watch.ReadHttp(), "from=4"));
+  watch.Send(ChangesResponse(4, ""));
+  assert(Contains(watch.ReadHttp(), "from=4"));
+  watch.Send(ChangesResponse(3, Target("w0", workers[0].address)));
   Conn next = discovery.Accept();
-  assert(Has(next.Http(), "GET /v1/endpoints HTTP/1.1\r\n") && watch.Ended());
+  assert(Contains(next.ReadHttp(), "GET /v1/endpoints HTTP/1.1\r\n") && watch.PeerClosed());
   for (int i = 0; i < 4; ++i) {
-    Conn client = Conn::To(p.at);
+    Conn client = Conn::Connect(p.address);
     client.Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: aa0" + std::to_string(i) +
                 "\r\nContent-Length: 0\r\n\r\n");
     workers[1].Accept();
   }
-  assert(!workers[0].Called(0.05) && "an older list made a draining target ready again");
-  next.Send(Changes(2, Target("w1", workers[1].at), "true"));
-  assert(Has(next.Http(), "from=2&hold_ms="));
+  assert(!workers[0].HasConnection(0.05) && "an older list made a draining target ready again");
+  next.Send(ChangesResponse(2, Target("w1", workers[1].address), "true"));
+  assert(Contains(next.ReadHttp(), "from=2&hold_ms="));
 }
 
 // A response that arrives byte by byte and never ends: the timeout runs from the request and not from the
 // last byte.
-void Endless() {
-  Peer discovery, worker;
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", worker.at);
-  Program p(site.Json());
+void EndlessResponse() {
+  Listener discovery, worker;
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", worker.address);
+  Program p(config.Json());
   Conn watch = discovery.Accept();
-  watch.Http();
+  watch.ReadHttp();
   const double called = Now();
   watch.Send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{");
-  while (!discovery.Called(0.2)) {
-    assert(Now() - called < kCountsAsTold && "the timeout was extended by each byte");
-    if (!watch.Ended(0)) watch.Send(" ");
+  while (!discovery.HasConnection(0.2)) {
+    assert(Now() - called < kKnownWithin && "the timeout was extended by each byte");
+    if (!watch.PeerClosed(0)) watch.Send(" ");
   }
-  assert(Has(discovery.Accept().Http(), "from=4&hold_ms="));
+  assert(Contains(discovery.Accept().ReadHttp(), "from=4&hold_ms="));
 }
 
 // Discovery closes the connection right after its response, or sends a second, unrequested response after it,
 // before the program reads either: the next request goes out at once on another connection.
-void Behind() {
+void DataAfterResponse() {
   for (const bool ends : {true, false}) {
-    Peer discovery, worker;
-    Site site;
-    site.discovery = discovery.at;
-    site.targets = Target("w0", worker.at);
-    Program p(site.Json());
+    Listener discovery, worker;
+    Config config;
+    config.discovery = discovery.address;
+    config.targets = Target("w0", worker.address);
+    Program p(config.Json());
     Conn watch = discovery.Accept();
-    watch.Http();
-    p.Freeze();
-    watch.Send(Changes(5, ""));
-    ends ? watch.Close() : watch.Send(Changes(6, ""));
-    const double thawed = Now();
-    p.Thaw();
-    assert(discovery.Called(1) && Now() - thawed < 1 &&
+    watch.ReadHttp();
+    p.Suspend();
+    watch.Send(ChangesResponse(5, ""));
+    ends ? watch.Close() : watch.Send(ChangesResponse(6, ""));
+    const double resumed = Now();
+    p.Resume();
+    assert(discovery.HasConnection(1) && Now() - resumed < 1 &&
            "the next request is late or reuses the unusable connection");
-    assert(Has(discovery.Accept().Http(), "from=5&hold_ms="));
+    assert(Contains(discovery.Accept().ReadHttp(), "from=5&hold_ms="));
   }
 }
 
 // Idle clients fill the descriptors while discovery is down. Discovery is still polled, and once it is back
 // the watch, a hop and a callback get descriptors within the limit.
-void Crowded() {
-  Peer discovery, worker;
-  Site site;
-  site.discovery = discovery.at;
-  site.sockets = 64;  // the smallest value that a configuration may have
-  Program p(site.Json());
+void DescriptorsFull() {
+  Listener discovery, worker;
+  Config config;
+  config.discovery = discovery.address;
+  config.sockets = 64;  // the smallest value that a configuration may have
+  Program p(config.Json());
   const std::string ready = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n";
-  std::vector<Conn> crowd;
+  std::vector<Conn> connections;
   for (int i = 0; i < 100; ++i) {
-    crowd.push_back(Conn::To(p.at));
-    if (i % 2 == 0 && i < 20) assert(Has(crowd.back().Ask(ready), " 503 "));
+    connections.push_back(Conn::Connect(p.address));
+    if (i % 2 == 0 && i < 20) assert(Contains(connections.back().RequestHttp(ready), " 503 "));
   }
   for (int i = 0; i < 2; ++i) discovery.Accept().Close();  // discovery is down
   Conn watch = discovery.Accept();
-  watch.Http();
-  assert(p.Descriptors() <= site.sockets);
-  watch.Send(Changes(9, Target("w1", worker.at), "true"));
-  assert(Has(watch.Http(), "from=9"));
-  for (int i = 0; i < 100; ++i) crowd.push_back(Conn::To(p.at));
-  assert(Has(Conn::To(p.at).Ask(ready), " 200 "));
-  Conn client = Conn::To(p.at);
+  watch.ReadHttp();
+  assert(p.OpenDescriptors() <= config.sockets);
+  watch.Send(ChangesResponse(9, Target("w1", worker.address), "true"));
+  assert(Contains(watch.ReadHttp(), "from=9"));
+  for (int i = 0; i < 100; ++i) connections.push_back(Conn::Connect(p.address));
+  assert(Contains(Conn::Connect(p.address).RequestHttp(ready), " 200 "));
+  Conn client = Conn::Connect(p.address);
   client.Send("POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: aa01\r\nContent-Length: 0\r\n\r\n");
   Conn hop = worker.Accept();
-  hop.Http();
-  const std::string news = "{\"id\":\"aa01\",\"from\":\"w1\",\"state\":\"done\",\"result\":\"r\"}";
-  assert(Has(Conn::To(p.at).Ask("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
-                                std::to_string(news.size()) + "\r\n\r\n" + news),
-             " 200 "));
-  assert(Has(client.Http(), " 200 ") && p.Descriptors() <= site.sockets);
+  hop.ReadHttp();
+  const std::string callback = "{\"id\":\"aa01\",\"from\":\"w1\",\"state\":\"done\",\"result\":\"r\"}";
+  assert(Contains(
+      Conn::Connect(p.address).RequestHttp("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: " +
+                                           std::to_string(callback.size()) + "\r\n\r\n" + callback),
+      " 200 "));
+  assert(Contains(client.ReadHttp(), " 200 ") && p.OpenDescriptors() <= config.sockets);
 }
 
-std::string Preview(const std::string& id) {
+std::string PreviewRequest(const std::string& id) {
   return "POST /preview HTTP/1.1\r\nHost: s\r\nReq-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
 }
 
 // A process starts with a route table of unknown age from its configuration. Until discovery has responded,
 // the process is not ready and sends no work, since the table may lack changes it should already know. A
 // request that arrives meanwhile waits and is sent by the list in the response.
-void CachedList() {
-  Peer discovery, workers[2];
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", workers[0].at);
-  Program p(site.Json());
-  Conn client = Conn::To(p.at);
-  client.Send(Preview("aa01"));
+void UnconfirmedList() {
+  Listener discovery, workers[2];
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", workers[0].address);
+  Program p(config.Json());
+  Conn client = Conn::Connect(p.address);
+  client.Send(PreviewRequest("aa01"));
   Conn watch = discovery.Accept();
-  assert(Has(watch.Http(), "from=4&hold_ms="));
-  assert(!workers[0].Called(0.5) && "work was sent by a list that discovery has not confirmed");
-  assert(Has(Conn::To(p.at).Ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 503 "));
-  watch.Send(Changes(9, Target("w0", workers[0].at, "a", "gone") + "," + Target("w1", workers[1].at)));
-  assert(Has(watch.Http(), "from=9"));
-  assert(Has(workers[1].Accept().Http(), "Req-Id: aa01") && !workers[0].Called(0.05));
-  assert(Has(Conn::To(p.at).Ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 200 "));
+  assert(Contains(watch.ReadHttp(), "from=4&hold_ms="));
+  assert(!workers[0].HasConnection(0.5) && "work was sent by a list that discovery has not confirmed");
+  assert(Contains(Conn::Connect(p.address).RequestHttp("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 503 "));
+  watch.Send(ChangesResponse(
+      9, Target("w0", workers[0].address, "a", "gone") + "," + Target("w1", workers[1].address)));
+  assert(Contains(watch.ReadHttp(), "from=9"));
+  assert(Contains(workers[1].Accept().ReadHttp(), "Req-Id: aa01") && !workers[0].HasConnection(0.05));
+  assert(Contains(Conn::Connect(p.address).RequestHttp("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"), " 200 "));
 }
 
 // Discovery accepts connections, but no response arrives whole. Once the list was last confirmed 6 s ago it
 // counts as out of date, and no work is sent by it until a response confirms or replaces it.
-void TornForLong() {
-  Peer discovery, workers[2];
-  Site site;
-  site.discovery = discovery.at;
-  site.targets = Target("w0", workers[0].at);
-  Program p(site.Json());
+void TruncatedResponses() {
+  Listener discovery, workers[2];
+  Config config;
+  config.discovery = discovery.address;
+  config.targets = Target("w0", workers[0].address);
+  Program p(config.Json());
   Conn watch = discovery.Accept();
-  watch.Http();
-  watch.Send(Changes(5, ""));
+  watch.ReadHttp();
+  watch.Send(ChangesResponse(5, ""));
   const double confirmed = Now();
-  assert(Has(watch.Http(), "from=5"));
-  const std::string whole = Changes(6, Target("w0", workers[0].at, "a", "gone"));
-  const std::string torn = whole.substr(0, whole.size() - 20);
-  watch.Send(torn);
+  assert(Contains(watch.ReadHttp(), "from=5"));
+  const std::string whole = ChangesResponse(6, Target("w0", workers[0].address, "a", "gone"));
+  const std::string truncated = whole.substr(0, whole.size() - 20);
+  watch.Send(truncated);
   watch.Close();
-  for (double left; (left = confirmed + kCountsAsTold - Now()) > 0;) {
-    if (!discovery.Called(left)) break;
+  for (double left; (left = confirmed + kKnownWithin - Now()) > 0;) {
+    if (!discovery.HasConnection(left)) break;
     Conn call = discovery.Accept();
-    assert(Has(call.Http(), "from=5"));
-    call.Send(torn);
+    assert(Contains(call.ReadHttp(), "from=5"));
+    call.Send(truncated);
   }
-  Conn client = Conn::To(p.at);
-  client.Send(Preview("aa01"));
-  assert(!workers[0].Called(0.2) && "work was sent by a list that is out of date");
+  Conn client = Conn::Connect(p.address);
+  client.Send(PreviewRequest("aa01"));
+  assert(!workers[0].HasConnection(0.2) && "work was sent by a list that is out of date");
   Conn call = discovery.Accept();
-  call.Http();
-  call.Send(Changes(7, Target("w0", workers[0].at, "a", "gone") + "," + Target("w1", workers[1].at)));
-  assert(Has(workers[1].Accept().Http(), "Req-Id: aa01") && !workers[0].Called(0.05));
+  call.ReadHttp();
+  call.Send(ChangesResponse(
+      7, Target("w0", workers[0].address, "a", "gone") + "," + Target("w1", workers[1].address)));
+  assert(Contains(workers[1].Accept().ReadHttp(), "Req-Id: aa01") && !workers[0].HasConnection(0.05));
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  return e2e::Run(argc, argv,
-                  {{"cached_list", CachedList},
-                   {"torn_for_long", TornForLong},
-                   {"silent", Silent},
-                   {"down", Down},
-                   {"older", Older},
-                   {"endless", Endless},
-                   {"behind", Behind},
-                   {"crowded", Crowded}});
+  return e2e::RunTest(argc, argv,
+                      {{"cached_list", UnconfirmedList},
+                       {"torn_for_long", TruncatedResponses},
+                       {"silent", SilentWatch},
+                       {"down", DiscoveryDown},
+                       {"older", OlderGeneration},
+                       {"endless", EndlessResponse},
+                       {"behind", DataAfterResponse},
+                       {"crowded", DescriptorsFull}});
 }
--- a/tests/rig/durable_rig.cpp
+++ b/tests/rig/durable_rig.cpp
@@ -153,7 +153,7 @@
     if (mkdtemp(name) == nullptr) throw std::runtime_error("cannot create a temporary folder");
     folder_ = name;
     port_ = FreePort();
-    std::ofstream(folder_ + "/config.json") << e2e::Site().Json();
+    std::ofstream(folder_ + "/config.json") << e2e::Config().Json();
     std::ofstream(folder_ + "/faktory.json")
         << "{\"enabled\":true,\"listen\":\"127.0.0.1:" << port_ << "\",\"password\":\"\"}";
     std::ofstream(folder_ + "/options.json")
@@ -212,8 +212,8 @@
 
  private:
   static int FreePort() {
-    e2e::Peer peer;
-    return std::stoi(peer.at.substr(peer.at.find(':') + 1));
+    e2e::Listener peer;
+    return std::stoi(peer.address.substr(peer.address.find(':') + 1));
   }
   void Kill(pid_t& pid) {
     if (pid <= 0) return;
--- a/tests/rig/learn_rig.cpp
+++ b/tests/rig/learn_rig.cpp
@@ -54,7 +54,7 @@
   const auto start = [&](int i) {
     const bool misled = told == "wrong" && i == 1;
     const rig::Discovery& list = misled ? wrong : discovery;
-    e2e::Site site;
+    e2e::Config site;
     site.discovery = list.address();
     for (int w = 0; w < workers; ++w) {
       const rig::Entry e = fleet[static_cast<std::size_t>(w)]->entry();
@@ -83,13 +83,13 @@
   const auto serve = [&](double share) {
     const auto i = static_cast<int>(programs.size());
     programs.push_back(start(i));
-    for (const auto& w : fleet) w->CallBackTo(static_cast<char>('a' + i), programs.back()->at);
+    for (const auto& w : fleet) w->CallBackTo(static_cast<char>('a' + i), programs.back()->address);
     rig::CrowdPlan plan;
     plan.run = work.run;
     plan.aim = 600'000;
     plan.prefix = std::string(1, static_cast<char>('a' + i));
     plan.per_s = share * load * workers * work.slots * 1e6 / static_cast<double>(work.run);
-    crowds.push_back(std::make_unique<rig::Crowd>(shared, audit, plan, programs.back()->at,
+    crowds.push_back(std::make_unique<rig::Crowd>(shared, audit, plan, programs.back()->address,
                                                   static_cast<std::uint64_t>(seed * 10 + i)));
   };
   std::list<net::Timer> timers;
@@ -135,8 +135,8 @@
   for (const auto& c : crowds) {
     if (!c->idle()) audit.Break("a try is left without an answer");
   }
-  std::string figures = e2e::Conn::To(programs.back()->console_at)
-                            .Ask("GET /v1/metrics HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
+  std::string figures = e2e::Conn::Connect(programs.back()->console_address)
+                            .RequestHttp("GET /v1/metrics HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
   const auto figure = [&](const std::string& name) {
     const auto n = figures.find(name + "=");
     return n == figures.npos ? 0 : std::stoi(figures.substr(n + name.size() + 1));
@@ -144,7 +144,7 @@
   const int sends = figure("app.transactions.preview.sends"), looked = figure("app.fleet.news_looked_into");
   for (const auto& p : programs) {
     p->Signal(SIGTERM);
-    if (p->Wait() != 0) audit.Break("a program did not end with 0");
+    if (p->WaitForExit() != 0) audit.Break("a program did not end with 0");
   }
   std::printf(
       "told %-7s probes %d seed %d  first %d tries %d served %d in time %d late %d lost %d  sends %d "
--- a/tests/rig/storm_rig.cpp
+++ b/tests/rig/storm_rig.cpp
@@ -47,7 +47,7 @@
                                                   static_cast<std::uint64_t>(seed * 100 + i)));
     discovery.Tell(fleet.back()->entry());
   }
-  e2e::Site site;
+  e2e::Config site;
   site.discovery = discovery.address();
   for (const auto& w : fleet)
     site.targets += (site.targets.empty() ? "" : ",") +
@@ -59,13 +59,13 @@
   e2e::Program program(site.Json(), "{\"enabled\":false}",
                        std::string("{\"log\":{\"connections\":false,\"form\":\"") + (json ? "json" : "text") +
                            "\"},\"limits\":{\"enabled\":" + (on ? "true" : "false") + "}}");
-  for (const auto& w : fleet) w->CallBackTo(program.at);
+  for (const auto& w : fleet) w->CallBackTo(program.address);
 
   rig::CrowdPlan crowd_plan;
   crowd_plan.per_s = load * workers * plan.slots * 1e6 / static_cast<double>(plan.run);
   crowd_plan.at_once = at_once;
   crowd_plan.keyed = keyed;
-  rig::Crowd crowd(shared, audit, crowd_plan, program.at, static_cast<std::uint64_t>(seed));
+  rig::Crowd crowd(shared, audit, crowd_plan, program.address, static_cast<std::uint64_t>(seed));
   std::list<net::Timer> timers;
   const auto after = [&](double seconds, std::function<void()> what) {
     timers.emplace_back(loop, std::move(what));
@@ -116,7 +116,7 @@
   loop.Run();
   if (!crowd.idle() && !reload) audit.Break("a try is left without an answer");
   if (!reload) program.Signal(SIGTERM);
-  if (program.Wait() != 0) audit.Break("the program did not end with 0");
+  if (program.WaitForExit() != 0) audit.Break("the program did not end with 0");
 
   auto& s = crowd.seconds;
   s.resize(static_cast<std::size_t>(end) + 6);
--- a/tests/soak/soak.cpp
+++ b/tests/soak/soak.cpp
@@ -136,7 +136,7 @@
     }
     if (!shims.empty()) setenv("LD_PRELOAD", shims.c_str(), 1);
     if (program_) {
-      program_->Configure(config_());
+      program_->WriteConfig(config_());
       program_->Start();
     } else {
       program_ = std::make_unique<e2e::Program>(config_(), "{\"enabled\":false}",
@@ -335,7 +335,7 @@
   }
 
   std::string Config(int scheduler, const std::string& at) {
-    e2e::Site site;
+    e2e::Config site;
     site.discovery = discovery_.address(scheduler);
     site.listen = at;
     site.sockets = plan_.sockets;
