--- a/src/config/options.cpp
+++ b/src/config/options.cpp
@@ -162,8 +162,9 @@
   read_overrides("copies_reach", o.copies_address_overrides);
   o.copies = static_cast<int>(in.Integer("copies", o.copies, 1, 7));
   if (o.copies % 2 == 0)
-    ThrowKeyError(in.Path("copies"),
-                  "is even: an odd number one lower tolerates the failure of as many members");
+    ThrowKeyError(
+        in.Path("copies"),
+        "is even: one copy more needs no larger majority, and one copy fewer tolerates as many failures");
   if (!in.Get("copies_listen").isNull()) o.copies_listen = in.Address("copies_listen", nullptr);
   if (o.copies > 1 && o.copies_listen.sin_port == 0) ThrowKeyError(in.Path("copies_listen"), "is missing");
   if (o.copies > 1 && !o.enabled) ThrowKeyError(in.Path("copies"), "needs " + in.Path("enabled"));
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -378,7 +378,8 @@
   auto* jobs_list = jobs->add_subcommand("list", "List the jobs, and count them by state");
   auto* jobs_show = jobs->add_subcommand("show", "Show all fields of one job");
   auto* jobs_retry = jobs->add_subcommand("retry", "Retry failed jobs, even if they may have run");
-  auto* jobs_discard = jobs->add_subcommand("discard", "Discard jobs that are not leased to a worker");
+  auto* jobs_discard =
+      jobs->add_subcommand("discard", "Permanently discard jobs that are not leased to a worker");
   auto* jobs_export = jobs->add_subcommand("export", "Print each job as a line of JSON");
   auto* jobs_verify = jobs->add_subcommand("verify", "Verify the whole store");
   auto* jobs_snapshot =
