--- a/src/cluster/copies/commands.cpp
+++ b/src/cluster/copies/commands.cpp
@@ -31,9 +31,9 @@
 
 int ListCopies(const std::string& console, bool json) {
   int status = 0;
-  const auto answer = FetchConsoleJson(console, "/v1/copies", json, status);
-  if (!answer) return status;
-  const Json::Value& all = *answer;
+  const auto response = FetchConsoleJson(console, "/v1/copies", json, status);
+  if (!response) return status;
+  const Json::Value& all = *response;
   if (!all["fault"].asString().empty()) std::printf("fault: %s\n", all["fault"].asCString());
   std::printf("%-44s %-13s %-16s %5s %10s %10s  %s\n", "GROUP", "ROLE", "LEADER", "TERM", "COMMITTED", "LAST",
               "COPIES (member:on disk, ~ does not vote)");
@@ -44,7 +44,7 @@
                  s["member"].asString() +
                  (s["on_disk"].isNull() ? "" : ":" + std::to_string(s["on_disk"].asUInt64()));
     }
-    // A leader does not always run the jobs: the owner may be gone while no member has taken them over yet.
+    // A leader does not always run the jobs: the owner may be gone before a member has taken them over.
     const std::string role = g["role"].asString() + (g["held"].asBool() ? ",holds" : "");
     std::printf("%-44s %-13s %-16s %5llu %10llu %10llu  %s\n", g["group"].asCString(), role.c_str(),
                 g["leader"].asCString(), static_cast<unsigned long long>(g["term"].asUInt64()),
--- a/src/cluster/copies/commands.h
+++ b/src/cluster/copies/commands.h
@@ -7,7 +7,9 @@
 namespace heronway::cluster::copies {
 
 // Each returns the exit status. Throws std::runtime_error or durable::StoreError with a message of one line.
+// Prints the groups of a running scheduler, as its console at the address `console` reports them.
 int ListCopies(const std::string& console, bool json);
+// Prints the groups that are stored in `folder`, whether or not a scheduler is running.
 int ShowCopies(const std::string& folder);
 // Writes a store file `to` from one replica of `group` in `folder`. Entries that this replica lacks are lost,
 // so the operator has to choose the replica with the newest last entry.
--- a/src/cluster/copies/group.h
+++ b/src/cluster/copies/group.h
@@ -12,7 +12,7 @@
 namespace heronway::cluster::copies {
 
 inline constexpr Micros kSecond = 1'000'000;
-// in the order of log::Role; printed by the console and the log
+// Role names as printed by the console and the log, in the order of log::Role.
 inline constexpr const char* kRoles[] = {"follower", "asks", "stands", "leader"};
 
 struct ReplicaManager::Group {
@@ -36,11 +36,11 @@
   bool claim_pending = false;            // a claim is proposed and not committed yet
   bool loading = false;                  // claimed; its jobs are being read
   bool opening = false;                  // OpenReplicatedStore() reads the jobs instead
-  Micros changed_at = 0;                 // when the claim was proposed or the release began
+  Micros changed_at = 0;                 // when the claim was proposed or the release started
   bool releasing = false;
-  Micros abandoned_since =
-      -1;  // When the owner was found to have another group instead, as it lost its disk; -1: never.
-  // This disk has lost part of the log that the other replicas have: the group is not served here.
+  // When the owner was found to have lost its disk and to have another group instead; -1: never.
+  Micros abandoned_since = -1;
+  // This disk has lost a part of the log that the other replicas have; the group is not served here.
   bool outdated = false;
   std::string invited;               // a member that was invited to keep a replica
   std::set<log::ServerId> accepted;  // servers that accepted an invitation
--- a/src/cluster/copies/job_lookup.cpp
+++ b/src/cluster/copies/job_lookup.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxGroups = 64;
 
 template <typename T>
-std::string Packed(const T& pack_fields) {
+std::string PackToString(const T& pack_fields) {
   msgpack::sbuffer bytes;
   pack::Packer out(bytes);
   pack_fields(out);
@@ -37,14 +37,14 @@
 }  // namespace
 
 std::string Encode(const JobQuery& query) {
-  return Packed([&query](pack::Packer& out) {
+  return PackToString([&query](pack::Packer& out) {
     out.pack_array(3);
     out.pack(query.own_group).pack(query.name.text).pack(query.name.is_alias);
   });
 }
 
 std::string Encode(const JobReply& reply) {
-  return Packed([&reply](pack::Packer& out) {
+  return PackToString([&reply](pack::Packer& out) {
     out.pack_array(4);
     out.pack(static_cast<int>(reply.status)).pack(reply.result).pack(reply.groups).pack(reply.served);
   });
--- a/src/cluster/copies/job_lookup.h
+++ b/src/cluster/copies/job_lookup.h
@@ -23,8 +23,8 @@
   bool is_alias = false;
 };
 
-// kRetry: the status is not known at this moment; the client should ask again. The order is sent between
-// members.
+// kRetry: the status is not known at this moment; the client should ask again. The values are sent between
+// members, so their order is fixed.
 enum class LookupStatus : std::uint8_t { kUnknown, kRetry, kOpen, kDone, kFailed };
 
 struct JobQuery {
@@ -34,7 +34,7 @@
 };
 struct JobReply {
   LookupStatus status = LookupStatus::kUnknown;
-  std::string result;               // result of a job in kDone
+  std::string result;               // of a job in kDone
   std::vector<std::string> groups;  // the sender's former groups with a replica here
   std::vector<std::string> served;  // those of `groups` whose jobs are run here
 };
--- a/src/cluster/copies/links.cpp
+++ b/src/cluster/copies/links.cpp
@@ -156,8 +156,7 @@
     it = outbound_.emplace(to, std::make_unique<Outbound>(*this, to)).first;
   }
   Outbound& out = *it->second;
-  // After a network partition the connection may stay open without progress; the system would retry for
-  // minutes.
+  // After a network partition the connection may stay open without progress, and TCP would retry for minutes.
   if (out.unacked_since >= 0 && shared_.loop.Now() - out.unacked_since > kAckTimeout && out.stream &&
       out.stream->open()) {
     out.stream->Close(net::Reason::kNoAnswer);
--- a/src/cluster/copies/links.h
+++ b/src/cluster/copies/links.h
@@ -24,7 +24,8 @@
   // A connection whose peer acknowledges nothing for this long is closed and dialled again.
   static constexpr net::Micros kAckTimeout = 3'000'000;
   static constexpr net::Micros kDialTimeout = 1'000'000, kRedialDelay = 250'000;
-  static constexpr std::size_t kDescriptors = kMaxInbound + kMaxOutbound + 1;  // not available to clients
+  // The file descriptors that are not available to clients.
+  static constexpr std::size_t kDescriptors = kMaxInbound + kMaxOutbound + 1;
 
   struct Settings {
     std::string fleet, name;
--- a/src/cluster/copies/log_content.cpp
+++ b/src/cluster/copies/log_content.cpp
@@ -54,10 +54,10 @@
   });
 }
 
-bool IsEffective(const Batch& batch, const durable::Applied& at) {
+bool IsEffective(const Batch& batch, const durable::Applied& applied) {
   if (batch.number == 0) return true;
-  if ((batch.epoch & kFencedEpoch) == 0) return batch.epoch != at.epoch || batch.number > at.number;
-  return batch.epoch == at.epoch && batch.number > at.number;
+  if ((batch.epoch & kFencedEpoch) == 0) return batch.epoch != applied.epoch || batch.number > applied.number;
+  return batch.epoch == applied.epoch && batch.number > applied.number;
 }
 
 std::string Encode(const StoreContents& contents) {
@@ -77,12 +77,12 @@
 
 std::optional<StoreContents> DecodeStoreContents(std::string_view bytes) {
   return Decode<StoreContents>(bytes, [](pack::ArrayReader& in) {
-    StoreContents d;
-    d.classes = in.Next().as<std::vector<std::string>>();
-    d.clock_stepped_at = in.Next().as<durable::Micros>();
-    d.applied.index = in.Next().as<std::uint64_t>();
-    d.applied.epoch = in.Next().as<std::uint64_t>();
-    d.applied.number = in.Next().as<std::uint64_t>();
+    StoreContents contents;
+    contents.classes = in.Next().as<std::vector<std::string>>();
+    contents.clock_stepped_at = in.Next().as<durable::Micros>();
+    contents.applied.index = in.Next().as<std::uint64_t>();
+    contents.applied.epoch = in.Next().as<std::uint64_t>();
+    contents.applied.number = in.Next().as<std::uint64_t>();
     const msgpack::object& jobs = in.Next();
     pack::ArrayReader::Require(jobs.type == msgpack::type::ARRAY);
     for (std::uint32_t i = 0; i < jobs.via.array.size; ++i) {
@@ -90,9 +90,9 @@
       std::string id = one.Next().as<std::string>();
       auto job = durable::DecodeJob(Bytes(one.Next()));
       pack::ArrayReader::Require(job.has_value());
-      d.jobs.emplace_back(std::move(id), std::move(*job));
+      contents.jobs.emplace_back(std::move(id), std::move(*job));
     }
-    return d;
+    return contents;
   });
 }
 
--- a/src/cluster/copies/log_content.h
+++ b/src/cluster/copies/log_content.h
@@ -42,14 +42,14 @@
 // Reads everything in a store. Throws durable::StoreError.
 StoreContents ReadContents(durable::SqliteStore& store);
 
-// The part of a log after some entry: the snapshot, if it is newer than that entry, and the entries after
-// either.
+// The part of a log after a given entry: the snapshot if it is newer than that entry, and the entries after
+// the snapshot or the given entry.
 struct LogSection {
   log::SnapshotPtr snapshot;
   log::Index first = 1;  // index of the first of `entries`
   std::vector<log::EntryPtr> entries;
 };
-// The entries in (`after`, `last`].
+// Returns the section after `after`, up to and including `last`.
 LogSection ReadLog(const log::Log& log, log::Index after, log::Index last);
 // Applies a section of its log to a store. Returns the store's new position. Throws durable::StoreError.
 durable::Applied CatchUp(durable::SqliteStore& store, const LogSection& section);
--- a/src/cluster/copies/lookup_requests.cpp
+++ b/src/cluster/copies/lookup_requests.cpp
@@ -9,17 +9,19 @@
 namespace heronway::cluster::copies {
 namespace {
 
-constexpr Micros kLookupRetryInterval = 50'000;  // a connection that has just failed loses frames
+// Unanswered queries are sent again, because a connection that has just failed loses frames.
+constexpr Micros kLookupRetryInterval = 50'000;
 
-// Whether the replicas without the owner's can elect a leader. If they cannot, only an operator can restore
-// the group.
-bool CanElectLeaderWithoutOwner(const log::Configuration& members, const Servers& servers,
+// Whether the other members' replicas can elect a leader without the owner's. If they cannot, only an
+// operator can restore the group.
+bool CanElectLeaderWithoutOwner(const log::Configuration& configuration, const Servers& servers,
                                 const std::string& owner) {
-  const auto others = std::count_if(members.voters.begin(), members.voters.end(), [&](log::ServerId id) {
-    const auto server = servers.find(id);
-    return server != servers.end() && server->second.first != owner;
-  });
-  return static_cast<std::size_t>(others) > members.voters.size() / 2;
+  const auto others =
+      std::count_if(configuration.voters.begin(), configuration.voters.end(), [&](log::ServerId id) {
+        const auto server = servers.find(id);
+        return server != servers.end() && server->second.first != owner;
+      });
+  return static_cast<std::size_t>(others) > configuration.voters.size() / 2;
 }
 
 }  // namespace
@@ -129,14 +131,14 @@
   for (const auto& [name, group] : groups_) {
     Group& g = *group;
     if (g.own || OwnerOf(name) != from || FrontOf(name) != f.group) continue;
-    if (name == query->own_group) {  // even if it was taken for abandoned before: the owner's disk is back
+    if (name == query->own_group) {  // the owner has its disk again, even if it was found lost before
       g.abandoned_since = -1;
       continue;
     }
     if (g.abandoned_since < 0) {
       g.abandoned_since = shared_.loop.Now();
       heronway::log::Event(heronway::log::Level::kInfo, "copies",
-                           {{"group", name}, {"state", "its owner has lost its disk"}});
+                           {{"group", name}, {"state", "owner lost its disk"}});
     }
     if (!CanElectLeaderWithoutOwner(g.log->configuration(), g.servers, from)) continue;
     reply.groups.push_back(name);
--- a/src/cluster/copies/member_queries.h
+++ b/src/cluster/copies/member_queries.h
@@ -1,5 +1,6 @@
-// Queries to several members at once: which replies are outstanding, and until when. Limited in number and
-// time. It uses only the loop's timer; the caller sends the queries and interprets the replies.
+// Tracks queries that are sent to several members at once: which replies are outstanding, and until when. The
+// number of open queries and their duration are limited. It uses only the loop's timer; the caller sends the
+// queries and interprets the replies.
 #ifndef HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
 #define HERONWAY_CLUSTER_COPIES_MEMBER_QUERIES_H_
 
@@ -20,14 +21,14 @@
 class MemberQueries {
  public:
   static constexpr std::size_t kMaxOpen = 256;
-  // The replies until the query ended.
+  // What is known when the query ends.
   struct Outcome {
     std::vector<std::pair<std::string, Reply>> replies;  // by member, in the order of arrival
     std::set<std::string> unanswered;                    // queried members that have not replied
   };
   using Done = std::function<void(Outcome)>;
 
-  // `is_final` tells whether a reply ends its query regardless of the others.
+  // `is_final` returns whether a reply ends its query regardless of the others.
   MemberQueries(net::Loop& loop, std::function<bool(const Reply&)> is_final)
       : loop_(loop), timer_(loop, [this] { EndExpired(); }), is_final_(std::move(is_final)) {}
 
--- a/src/cluster/copies/placement.cpp
+++ b/src/cluster/copies/placement.cpp
@@ -63,7 +63,7 @@
   }
   for (const std::string& name : current) {
     const Candidate* c = Find(members, name);
-    // A member that is not known any more has been gone for longer than membership remembers.
+    // A member that is no longer known has been gone for longer than membership keeps members.
     const bool gone = c == nullptr || (c->gone_since >= 0 && now - c->gone_since >= replacement_delay);
     if (gone) gone_member = name;
     if (!gone && name != owner && !is_wanted(name) && c->gone_since < 0) surplus = name;
--- a/src/cluster/copies/placement.h
+++ b/src/cluster/copies/placement.h
@@ -15,7 +15,7 @@
 
 struct Candidate {
   std::string name, zone;
-  Micros gone_since = -1;  // When it was found dead or left; -1: it is present.
+  Micros gone_since = -1;  // when it was found dead or left; -1: it is present
 };
 
 // Returns up to `count` members in descending order of preference, the owner first if it is among `members`.
--- a/src/cluster/copies/reconfiguration.cpp
+++ b/src/cluster/copies/reconfiguration.cpp
@@ -36,7 +36,7 @@
     if (g.channel && g.releasing) return StopServing(g);  // the owner has gone again during the release
     const auto owner = std::find_if(members.begin(), members.end(),
                                     [&g](const KnownMember& m) { return m.name == OwnerOf(g.name); });
-    // An owner that membership does not know has been gone for longer than membership remembers.
+    // An owner that membership does not know has been gone for longer than membership keeps members.
     Micros gone = owner != members.end() ? owner->gone_since : started_at_ + kDiscoveryTime;
     // A present owner that has lost its disk will not lead this group again.
     if (gone < 0) gone = g.abandoned_since;
@@ -128,7 +128,7 @@
       const std::lock_guard lock(results_lock_);
       compacted_snapshots_.emplace_back(name, log::Compact{contents.applied.index, Encode(contents)});
     } catch (const durable::StoreError&) {
-      // The log keeps growing; compaction is tried again when it has grown by the same amount.
+      // The log keeps growing; compaction is retried when it has grown by the same amount.
       compact_failed_.store(true);
     }
     work_done_wakeup_.Notify();
--- a/src/cluster/copies/replica_manager.cpp
+++ b/src/cluster/copies/replica_manager.cpp
@@ -11,8 +11,8 @@
 #include "src/log/log.h"
 
 namespace heronway::cluster::copies {
-std::string GroupName(const std::string& owner, const std::string& front, Micros life) {
-  return owner + "/" + front + "/" + std::to_string(life);
+std::string GroupName(const std::string& owner, const std::string& front, Micros created_at) {
+  return owner + "/" + front + "/" + std::to_string(created_at);
 }
 std::string FrontOf(const std::string& group) {
   const auto last = group.rfind('/');
@@ -49,8 +49,7 @@
                         }),
       check_timer_(shared.loop, [this] { CheckGroups(); }),
       report_forwarder_(shared.loop),
-      lookup_queries_(shared.loop,
-                      [](const JobReply& answer) { return answer.status >= LookupStatus::kOpen; }),
+      lookup_queries_(shared.loop, [](const JobReply& reply) { return reply.status >= LookupStatus::kOpen; }),
       lookup_retry_timer_(shared.loop, [this] { RetryLookups(); }),
       links_(shared, {settings.fleet, settings.name, settings.listen, settings.dial_addresses},
              [this](const std::string& from, Frame frame) { OnFrame(from, std::move(frame)); }),
@@ -127,10 +126,10 @@
     if (!g.own) return;
     const auto contents = DecodeStoreContents(g.log->snapshot()->data);
     if (contents) g.last_epoch = contents->applied.epoch;
-    // Another process served the group while this one was paused, and has taken a snapshot since.
+    // Another process has served the group while this one was paused, and has taken a snapshot since.
     if (g.channel) return StopServing(g);
     if (!contents || contents->applied.epoch != g.stored_epoch) return;
-    // The snapshot is of this scheduler's own claim, and its disk has lost it.
+    // The snapshot was taken under this scheduler's own claim, but the log on its disk lacks it.
     g.outdated = true;
     heronway::log::Event(heronway::log::Level::kError, "copies",
                          {{"group", g.name}, {"fault", "this disk is older than the other replicas"}});
@@ -160,19 +159,19 @@
       return HandleEvent(*g, log::Received{std::move(*message)});
     }
     case Frame::Kind::kInvite: {
-      // A member may only invite to its own groups.
+      // A member may invite others to its own groups only.
       if (OwnerOf(f.group) != from || from == settings_.name) return;
       if (g == nullptr) {
-        const auto others =
+        const auto foreign_groups =
             std::count_if(groups_.begin(), groups_.end(), [](const auto& p) { return !p.second->own; });
-        if (static_cast<std::size_t>(others) >= kMaxGroups) return;
+        if (static_cast<std::size_t>(foreign_groups) >= kMaxGroups) return;
         StoredGroup empty;
         empty.group = f.group;
         empty.self = NewServerId();
         heronway::log::Event(heronway::log::Level::kInfo, "copies",
                              {{"group", f.group}, {"state", "replica created"}});
         AddGroup(std::move(empty), false);
-        return;  // accepted in OnWritten(), when it is on disk
+        return;  // the invitation is accepted in OnWritten(), when the group is on disk
       }
       if (!g->stored) return;
       Frame accept;
@@ -196,9 +195,9 @@
     case Frame::Kind::kReply:
       if (f.detail == kLookup) return OnReply(from, f);
       return report_forwarder_.OnReply(f.server, from,
-                                       f.detail == "taken"    ? ForwardOutcome::kStored
-                                       : f.detail == "nobody" ? ForwardOutcome::kUnknownJob
-                                                              : ForwardOutcome::kRetry);
+                                       f.detail == kReportStored       ? ForwardOutcome::kStored
+                                       : f.detail == kReportUnknownJob ? ForwardOutcome::kUnknownJob
+                                                                       : ForwardOutcome::kRetry);
     case Frame::Kind::kHello:
       return;
   }
@@ -211,7 +210,7 @@
   auto& server = g.servers[id];
   if (server.first == member && (address.empty() || server.second == address)) return;
   server = {member, address.empty() ? server.second : address};
-  // Limits memory when servers come and go: room for the group's servers and as many former ones.
+  // Limits memory when servers come and go: keeps the group's servers and as many former ones.
   while (g.servers.size() > 2 * log::kMaxServers) g.servers.erase(g.servers.begin());
   replica_store_.Enqueue(g.name, g.servers);
 }
@@ -237,7 +236,7 @@
   fault_ = std::move(fault);
   heronway::log::Event(
       fault_.empty() ? heronway::log::Level::kInfo : heronway::log::Level::kError, "copies",
-      {{fault_.empty() ? "state" : "fault", fault_.empty() ? "writing works again" : fault_}});
+      {{fault_.empty() ? "state" : "fault", fault_.empty() ? "store writes work again" : fault_}});
 }
 
 void ReplicaManager::ProposePending() {
--- a/src/cluster/copies/replica_manager.h
+++ b/src/cluster/copies/replica_manager.h
@@ -41,19 +41,18 @@
     // How long a member has to be gone before another runs its jobs, in microseconds; 0: never.
     Micros takeover_delay = 0;
     bool expects_peers = false;  // the settings name other members
-    std::string folder;          // that contains copies.db
+    std::string folder;          // contains copies.db
     std::uint64_t seed = 1;
   };
   static constexpr std::size_t kMaxGroups = 64;             // groups of other members that are kept here
   static constexpr Micros kCheckInterval = 500'000;         // between checks of placement and progress
   static constexpr Micros kReplacementDelay = 600'000'000;  // after which a gone member's replica is replaced
-  static constexpr std::size_t kMinCompactBytes =
-      16 * 1024 * 1024;  // The log grows by at least this many bytes before a snapshot is taken.
-
-  // after a start, to discover all members
+  // The log grows by at least this many bytes before a snapshot is taken.
+  static constexpr std::size_t kMinCompactBytes = 16 * 1024 * 1024;
+  // How long after a start members may still be unknown.
   static constexpr Micros kDiscoveryTime = FormerReplicas::kDiscoveryTime;
-  static constexpr Micros kReleaseTimeout =
-      5'000'000;  // How long jobs in progress may take to end before the group goes back to its owner.
+  // How long jobs in progress may take to end before the group goes back to its owner.
+  static constexpr Micros kReleaseTimeout = 5'000'000;
 
   // Callbacks by which a front takes over the jobs of a group and gives them up. `own` tells that the group
   // is this scheduler's own and that another member served it in the meantime.
@@ -78,7 +77,8 @@
   ReplicaManager& operator=(const ReplicaManager&) = delete;
 
   // For durable::Settings::copied. Runs the loop until this scheduler leads its group for the front and the
-  // store has every committed entry. If the group already has replicas, this takes a majority of them.
+  // store has every committed entry. If the group already has replicas, a majority of them has to be
+  // reachable.
   std::unique_ptr<durable::Store> OpenReplicatedStore(const std::string& front,
                                                       std::unique_ptr<durable::SqliteStore> store);
   // Sets the source of the members. Until it is set, no member is asked to keep a replica.
@@ -168,7 +168,7 @@
   struct LoadResult {
     std::string group, fault;
     std::uint64_t epoch = 0;
-    durable::TransferredJobs held;
+    durable::TransferredJobs transferred;
     std::unique_ptr<durable::SqliteStore> store;  // null on failure, with the reason in `fault`
   };
   std::deque<LoadTask> load_queue_;
--- a/src/cluster/copies/replica_store.cpp
+++ b/src/cluster/copies/replica_store.cpp
@@ -19,7 +19,7 @@
 using durable::StoreError;
 using Clock = std::chrono::steady_clock;
 constexpr int kSchemaVersion = 1;
-constexpr std::chrono::milliseconds kRetryDelay{200};
+constexpr std::chrono::milliseconds kRetryDelay{200};  // after a failed commit
 
 std::int64_t Checksum(std::string_view body) {
   return static_cast<std::int64_t>(XXH3_64bits(body.data(), body.size()));
@@ -30,7 +30,7 @@
 struct ReplicaStore::Impl {
   std::string file;
   std::unique_ptr<SQLite::Database> db;
-  int lock = -1;
+  int lock = -1;  // descriptor of the locked file; -1 if read only
   ~Impl() {
     db.reset();
     if (lock >= 0) close(lock);
@@ -110,9 +110,9 @@
 }
 
 std::vector<StoredGroup> ReplicaStore::Read() {
-  std::vector<StoredGroup> all;
-  const auto corrupt = [this](const std::string& place, const char* change) {
-    return StoreError(StoreError::Kind::kCorrupt, impl_->file + ": " + place + ": " + change);
+  std::vector<StoredGroup> stored_groups;
+  const auto corrupt = [this](const std::string& place, const char* problem) {
+    return StoreError(StoreError::Kind::kCorrupt, impl_->file + ": " + place + ": " + problem);
   };
   try {
     SQLite::Transaction read_transaction(*impl_->db);
@@ -152,12 +152,12 @@
       while (servers.executeStep())
         g.servers[static_cast<log::ServerId>(servers.getColumn(0).getInt64())] = {
             servers.getColumn(1).getString(), servers.getColumn(2).getString()};
-      all.push_back(std::move(g));
+      stored_groups.push_back(std::move(g));
     }
   } catch (const SQLite::Exception& e) {
     throw StoreError(StoreError::Kind::kOther, impl_->file + ": reading: " + e.what());
   }
-  return all;
+  return stored_groups;
 }
 
 void ReplicaStore::Enqueue(const std::string& group, Change change) {
@@ -185,17 +185,17 @@
 
 // Writes changes in order and skips none: a commit that fails is retried until it succeeds.
 void ReplicaStore::Run() {
-  std::vector<PendingWrite> ops;
+  std::vector<PendingWrite> writes;
   for (;;) {
-    if (ops.empty()) {
+    if (writes.empty()) {
       std::unique_lock lock(lock_);
       wake_.wait(lock, [this] { return !pending_.empty() || stopping_; });
-      ops.swap(pending_);
-      if (ops.empty()) return;
+      writes.swap(pending_);
+      if (writes.empty()) return;
     }
     std::string fault;
     try {
-      Write(ops);
+      Write(writes);
     } catch (const SQLite::Exception& e) {
       fault = impl_->file + ": writing: " + e.what();
     }
@@ -204,12 +204,12 @@
     fault_ = fault;
     if (fault.empty()) {
       ++commits_;
-      for (const PendingWrite& op : ops) {
-        const auto* p = std::get_if<log::Persist>(&op.change);
-        if (p != nullptr || std::holds_alternative<StoredGroup>(op.change))
-          completions_.push_back({op.group, p != nullptr ? p->number : 0});
+      for (const PendingWrite& write : writes) {
+        const auto* p = std::get_if<log::Persist>(&write.change);
+        if (p != nullptr || std::holds_alternative<StoredGroup>(write.change))
+          completions_.push_back({write.group, p != nullptr ? p->number : 0});
       }
-      ops.clear();
+      writes.clear();
     }
     lock.unlock();
     if (fault.empty() || changed) on_change_();
@@ -220,19 +220,19 @@
   }
 }
 
-void ReplicaStore::Write(const std::vector<PendingWrite>& ops) {
+void ReplicaStore::Write(const std::vector<PendingWrite>& writes) {
   SQLite::Transaction transaction(*impl_->db);
-  for (const PendingWrite& op : ops) {
-    if (const auto* group = std::get_if<StoredGroup>(&op.change)) {
+  for (const PendingWrite& write : writes) {
+    if (const auto* group = std::get_if<StoredGroup>(&write.change)) {
       impl_->Put(*group);
-    } else if (const auto* p = std::get_if<log::Persist>(&op.change)) {
-      impl_->Put(op.group, *p);
-    } else if (const auto* servers = std::get_if<Servers>(&op.change)) {
-      impl_->Put(op.group, *servers);
+    } else if (const auto* p = std::get_if<log::Persist>(&write.change)) {
+      impl_->Put(write.group, *p);
+    } else if (const auto* servers = std::get_if<Servers>(&write.change)) {
+      impl_->Put(write.group, *servers);
     } else {
       for (const char* sql : {"DELETE FROM groups WHERE name=?", "DELETE FROM entries WHERE grp=?",
                               "DELETE FROM servers WHERE grp=?"})
-        impl_->Execute(sql, op.group);
+        impl_->Execute(sql, write.group);
     }
   }
   transaction.commit();
--- a/src/cluster/copies/replica_store.h
+++ b/src/cluster/copies/replica_store.h
@@ -1,5 +1,5 @@
-// The file in which a member keeps its replicas. One file serves all groups; a thread writes the changes that
-// have been queued since its last commit in one synced commit.
+// The file in which a member keeps its replicas, one for all groups. A thread writes all changes that have
+// been queued since its last commit in one synced commit.
 #ifndef HERONWAY_CLUSTER_COPIES_REPLICA_STORE_H_
 #define HERONWAY_CLUSTER_COPIES_REPLICA_STORE_H_
 
@@ -20,6 +20,7 @@
 // The member of each server of a group, and the address at which it listens.
 using Servers = std::map<log::ServerId, std::pair<std::string, std::string>>;
 
+// What is stored of a group: its name, the id of this member's server, its log and its servers.
 struct StoredGroup {
   std::string group;
   log::ServerId self = 0;
@@ -61,7 +62,7 @@
     Change change;
   };
   void Run();
-  void Write(const std::vector<PendingWrite>& ops);
+  void Write(const std::vector<PendingWrite>& writes);
 
   std::unique_ptr<Impl> impl_;
   std::function<void()> on_change_;
--- a/src/cluster/copies/replicated_store.cpp
+++ b/src/cluster/copies/replicated_store.cpp
@@ -26,7 +26,7 @@
     committed_.pop_front();
     return next;
   }
-  reason = closed_              ? "the group is not served here any more"
+  reason = closed_              ? "the group is no longer served here"
            : rejection_.empty() ? "no majority of the replicas stored it in time"
                                 : rejection_;
   return std::nullopt;
@@ -62,8 +62,8 @@
 }
 
 ReplicatedStore::ReplicatedStore(std::unique_ptr<durable::SqliteStore> store,
-                                 std::shared_ptr<LogChannel> channel, std::uint64_t life)
-    : store_(std::move(store)), channel_(std::move(channel)), epoch_(life), applied_(store_->applied()) {}
+                                 std::shared_ptr<LogChannel> channel, std::uint64_t epoch)
+    : store_(std::move(store)), channel_(std::move(channel)), epoch_(epoch), applied_(store_->applied()) {}
 
 bool ReplicatedStore::Apply(durable::SqliteStore& store, durable::Applied& applied,
                             const LogChannel::Committed& entry) {
@@ -73,8 +73,8 @@
   if (!records)
     throw StoreError(StoreError::Kind::kCorrupt,
                      "copies: entry " + std::to_string(entry.index) + " of the log cannot be read");
-  // A duplicate, proposed again because its proposer did not know that it was committed; or a proposal of a
-  // process that does not serve the group any more.
+  // Skips a duplicate, which was proposed again because its proposer did not know that it was committed, and
+  // a proposal of a process that no longer serves the group.
   if (!IsEffective(*batch, applied)) return false;
   const durable::Applied next{entry.index, batch->epoch, batch->number};
   store.AppendAt(*records, next);
@@ -82,8 +82,8 @@
   return true;
 }
 
-// The caller repeats a failed call with the same records. The parts stay as they were cut, and parts that are
-// committed stay committed.
+// The caller retries a failed call with the same records. The records stay split into the same parts, and
+// parts that are committed stay committed.
 void ReplicatedStore::Append(const std::vector<durable::Record>& records) {
   if (superseded_)
     throw StoreError(StoreError::Kind::kOther, "copies: another process has taken the group over");
@@ -113,8 +113,8 @@
       if (!committed_entry_) throw StoreError(StoreError::Kind::kOther, "copies: " + reason);
     }
     const auto batch = DecodeBatch(committed_entry_->data);
-    // Another process has claimed the group: from here on its batches count. This store is left at its
-    // position, to be caught up when the group is claimed here again.
+    // Another process has claimed the group, and only its batches count from here on. This store stays at its
+    // position until the group is claimed here again.
     superseded_ = batch && batch->number == 0 && batch->epoch != epoch_;
     if (superseded_)
       throw StoreError(StoreError::Kind::kOther, "copies: another process has taken the group over");
--- a/src/cluster/copies/replicated_store.h
+++ b/src/cluster/copies/replicated_store.h
@@ -17,7 +17,8 @@
 
 namespace heronway::cluster::copies {
 
-// Connects the writer thread of one group's store, an own or a taken-over one, to the loop.
+// Connects the writer thread of one group's store to the loop, for the scheduler's own groups and for those
+// that it has taken over.
 class LogChannel {
  public:
   struct Committed {
@@ -54,9 +55,9 @@
 // rest.
 class ReplicatedStore : public durable::Store {
  public:
-  static constexpr std::chrono::milliseconds kCommitTimeout{
-      1'000};  // How long to wait for a majority before the append fails.
-  // of an entry, unless it is a single larger record
+  // How long to wait for a majority before the append fails.
+  static constexpr std::chrono::milliseconds kCommitTimeout{1'000};
+  // The size limit of an entry, unless it is a single larger record.
   static constexpr std::size_t kMaxPartBytes = 256 * 1024;
 
   ReplicatedStore(std::unique_ptr<durable::SqliteStore> store, std::shared_ptr<LogChannel> channel,
@@ -79,8 +80,8 @@
   bool superseded_ = false;  // another process has claimed the group
   std::uint64_t epoch_, last_number_ = 0;
   durable::Applied applied_;
-  std::deque<std::pair<std::uint64_t, std::string>>
-      pending_parts_;  // Parts of the current batch that are not committed yet, by batch number.
+  // The parts of the current append that are not committed yet, by batch number.
+  std::deque<std::pair<std::uint64_t, std::string>> pending_parts_;
   std::optional<LogChannel::Committed> committed_entry_;  // committed, not applied to the store yet
 };
 
--- a/src/cluster/copies/report_forwarding.cpp
+++ b/src/cluster/copies/report_forwarding.cpp
@@ -9,8 +9,7 @@
 void ReplicaManager::ForwardReport(const std::string& front, const core::HopCallback& report,
                                    ReportForwarder::Done done) {
   std::vector<std::string> others;
-  // A member that has gone recently may serve the job and come back: the report must not be dropped
-  // meanwhile.
+  // A recently gone member may serve the job and come back, so the report must not be dropped until then.
   bool recently_gone = false;
   for (const KnownMember& m : member_source_ ? member_source_() : std::vector<KnownMember>{}) {
     recently_gone |= m.gone_since >= 0 && shared_.loop.Now() - m.gone_since < kDiscoveryTime;
@@ -39,16 +38,16 @@
     ++links_.frames_malformed;
     return;
   }
-  const auto answer = [this, from, number = f.server](const char* what) {
+  const auto send_reply = [this, from, number = f.server](const char* outcome) {
     Frame reply;
     reply.kind = Frame::Kind::kReply;
     reply.server = number;
-    reply.detail = what;
+    reply.detail = outcome;
     links_.Send(from, reply);
   };
-  const auto done = [this, answer](bool stored) {
+  const auto done = [this, send_reply](bool stored) {
     reports_stored_ += stored ? 1 : 0;
-    answer(stored ? "taken" : "again");
+    send_reply(stored ? kReportStored : kReportRetry);
   };
   if (front_hooks_.report && front_hooks_.report(f.group, std::move(*report), done)) return;
   // A group without a leader, or one that is led here and not served yet, may have the job.
@@ -57,7 +56,7 @@
     const bool led = g.log->role() == log::Role::kLeader;
     return FrontOf(p.first) == f.group && (g.log->leader() == 0 || (led && (!g.channel || g.loading)));
   });
-  answer(may_have_job ? "again" : "nobody");
+  send_reply(may_have_job ? kReportRetry : kReportUnknownJob);
 }
 
 }  // namespace heronway::cluster::copies
--- a/src/cluster/copies/takeover.cpp
+++ b/src/cluster/copies/takeover.cpp
@@ -24,7 +24,7 @@
   durable::Record clock_change;
   clock_change.kind = durable::RecordKind::kClockSteppedBack;
   clock_change.at = net::Loop::WallClock();
-  // If another process served the group, its times are by another clock: keyed jobs must not rely on them.
+  // Times stored by another process that served the group are by its clock; keyed jobs must not rely on them.
   const bool other_clock = !g.own || !g.opening || g.last_epoch != g.stored_epoch;
   claim.records = durable::Encode(other_clock ? std::vector{clock_change} : std::vector<durable::Record>{});
   log::Propose p;
@@ -33,8 +33,8 @@
   HandleEvent(g, std::move(p));
 }
 
-// Whether this entry claims the group; if so, applies the claim. Claims are small, so larger entries are not
-// decoded.
+// Applies the entry if it claims the group, and returns whether it does. Claims are small, so larger entries
+// are not decoded.
 bool ReplicaManager::ApplyIfClaim(Group& g, log::Index index, const std::string& data) {
   constexpr std::size_t kMaxClaimBytes = 256;
   if (data.size() > kMaxClaimBytes) return false;
@@ -61,11 +61,11 @@
   g.epoch = 0;
   if (std::exchange(g.loading, false)) return;  // no front has its jobs yet
   heronway::log::Event(heronway::log::Level::kWarn, "copies",
-                       {{"group", g.name}, {"state", "not served here any more"}});
+                       {{"group", g.name}, {"state", "no longer served here"}});
   if (front_hooks_.stop) front_hooks_.stop(g.name, FrontOf(g.name), g.own);
 }
 
-// Reads the log up to the claim on a thread of its own; the front receives the jobs afterwards.
+// Reads the log up to the claim on a separate thread; the front receives the jobs afterwards.
 void ReplicaManager::LoadJobs(Group& g) {
   g.loading = true;
   if (!g.own) {
@@ -92,13 +92,13 @@
     try {
       if (!task.own) {
         // A file of an earlier takeover is not needed: the log has everything.
-        for (const char* end : {"", "-wal", "-shm"}) std::remove((task.store.file + end).c_str());
+        for (const char* suffix : {"", "-wal", "-shm"}) std::remove((task.store.file + suffix).c_str());
       }
       auto store = std::make_unique<durable::SqliteStore>(task.store, durable::SqliteStore::Mode::kServe);
       CatchUp(*store, task.section);
       StoreContents contents = ReadContents(*store);
-      out.held.jobs = std::move(contents.jobs);
-      out.held.clock_stepped_at = contents.clock_stepped_at;
+      out.transferred.jobs = std::move(contents.jobs);
+      out.transferred.clock_stepped_at = contents.clock_stepped_at;
       out.store = std::move(store);
     } catch (const std::exception& e) {
       out.fault = e.what();
@@ -120,11 +120,11 @@
   loader_.join();
   for (LoadResult& r : results) {
     Group* g = FindGroup(r.group);
-    // It was claimed by another process meanwhile.
+    // Skips a group that another process has claimed in the meantime.
     if (g == nullptr || !g->loading || g->epoch != r.epoch) continue;
     if (r.store == nullptr) {
       heronway::log::Event(heronway::log::Level::kError, "copies",
-                           {{"group", g->name}, {"fault", "cannot take it over: " + r.fault}});
+                           {{"group", g->name}, {"fault", "cannot take over: " + r.fault}});
       StopServing(*g);
       continue;
     }
@@ -132,18 +132,18 @@
     ++takeovers_;
     heronway::log::Event(heronway::log::Level::kWarn, "copies",
                          {{"group", g->name},
-                          {"state", g->own ? "served by its owner again" : "taken over"},
-                          {"jobs", r.held.jobs.size()}});
-    r.held.group = g->name;
-    r.held.front = FrontOf(g->name);
-    r.held.returned = g->own;
-    r.held.store = std::make_unique<ReplicatedStore>(std::move(r.store), g->channel, g->epoch);
-    if (front_hooks_.serve) front_hooks_.serve(std::move(r.held));
+                          {"state", g->own ? "returned to its owner" : "taken over"},
+                          {"jobs", r.transferred.jobs.size()}});
+    r.transferred.group = g->name;
+    r.transferred.front = FrontOf(g->name);
+    r.transferred.returned = g->own;
+    r.transferred.store = std::make_unique<ReplicatedStore>(std::move(r.store), g->channel, g->epoch);
+    if (front_hooks_.serve) front_hooks_.serve(std::move(r.transferred));
   }
   LoadNext();
 }
 
-// Returns true once the group is not served here any more. Jobs in progress get kReleaseTimeout to end.
+// Returns true once the group is no longer served here. Jobs in progress get kReleaseTimeout to end.
 bool ReplicaManager::ReleaseGroup(Group& g) {
   if (!g.channel) return true;
   const Micros now = shared_.loop.Now();
@@ -199,7 +199,7 @@
     if (shared_.loop.Now() - last_warning_at < 5 * kSecond) continue;
     last_warning_at = shared_.loop.Now();
     heronway::log::Event(heronway::log::Level::kWarn, "copies",
-                         {{"group", g->name}, {"state", "waiting for a majority of its replicas"}});
+                         {{"group", g->name}, {"state", "waiting for a majority"}});
   }
   g->opening = false;
   const durable::Applied applied = CatchUp(*store, ReadLog(*g->log, stored_position.index, g->claim_index));
--- a/tests/cluster/placement_test.cpp
+++ b/tests/cluster/placement_test.cpp
@@ -48,11 +48,12 @@
 
 TEST(Placement, GoneMemberMovesOnlyItsOwnReplicas) {
   const auto fleet = Fleet(100, 4);
-  auto less = fleet;
-  less[17].gone_since = 0;
+  auto with_gone_member = fleet;
+  with_gone_member[17].gone_since = 0;
   for (const Candidate& owner : fleet) {
     if (owner.name == "s17") continue;
-    const auto before = ChooseReplicas(owner.name, fleet, 3), after = ChooseReplicas(owner.name, less, 3);
+    const auto before = ChooseReplicas(owner.name, fleet, 3),
+               after = ChooseReplicas(owner.name, with_gone_member, 3);
     int moved = 0;
     for (const std::string& name : after)
       moved += std::find(before.begin(), before.end(), name) == before.end();
@@ -63,33 +64,33 @@
 
 TEST(Placement, RestartMovesNothingAndLostMemberIsReplaced) {
   auto fleet = Fleet(9, 3);
-  const auto held = ChooseReplicas("s0", fleet, 3);
+  const auto replicas = ChooseReplicas("s0", fleet, 3);
   const auto next = [&](const std::vector<std::string>& current, Micros now, bool balance = false) {
     return NextChange("s0", current, fleet, 3, now, 10 * kMinute, balance);
   };
-  EXPECT_FALSE(next(held, 0).has_value());
-  auto lost = std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == held[1]; });
+  EXPECT_FALSE(next(replicas, 0).has_value());
+  auto lost = std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == replicas[1]; });
   lost->gone_since = 0;
-  EXPECT_FALSE(next(held, 9 * kMinute).has_value()) << "it may come back";
-  const auto move = next(held, 10 * kMinute);
+  EXPECT_FALSE(next(replicas, 9 * kMinute).has_value()) << "it may come back";
+  const auto move = next(replicas, 10 * kMinute);
   ASSERT_TRUE(move.has_value());
-  EXPECT_EQ(move->remove, held[1]);
+  EXPECT_EQ(move->remove, replicas[1]);
   EXPECT_FALSE(move->add.empty());
-  auto more = held;
-  more.push_back(move->add);
-  const auto then = next(more, 11 * kMinute);
+  auto with_replacement = replicas;
+  with_replacement.push_back(move->add);
+  const auto then = next(with_replacement, 11 * kMinute);
   ASSERT_TRUE(then.has_value());
-  EXPECT_EQ(then->remove, held[1]);
+  EXPECT_EQ(then->remove, replicas[1]);
   EXPECT_TRUE(then->add.empty()) << "its replacement was added already";
-  std::erase(more, held[1]);
-  EXPECT_FALSE(next(more, 12 * kMinute).has_value());
-  lost->gone_since = -1;  // back: it is preferred, but no reason for a change without rebalancing
-  EXPECT_FALSE(next(more, 13 * kMinute).has_value());
-  const auto better = next(more, 13 * kMinute, true);
+  std::erase(with_replacement, replicas[1]);
+  EXPECT_FALSE(next(with_replacement, 12 * kMinute).has_value());
+  lost->gone_since = -1;  // it is back and preferred, but replaces another only when rebalancing
+  EXPECT_FALSE(next(with_replacement, 13 * kMinute).has_value());
+  const auto better = next(with_replacement, 13 * kMinute, true);
   ASSERT_TRUE(better.has_value());
-  EXPECT_EQ(better->add, held[1]);
-  EXPECT_FALSE(next({held[0], held[1], held[2], "s0"}, 13 * kMinute).has_value() &&
-               next({held[0], held[1], held[2], "s0"}, 13 * kMinute)->remove == "s0")
+  EXPECT_EQ(better->add, replicas[1]);
+  EXPECT_FALSE(next({replicas[0], replicas[1], replicas[2], "s0"}, 13 * kMinute).has_value() &&
+               next({replicas[0], replicas[1], replicas[2], "s0"}, 13 * kMinute)->remove == "s0")
       << "the owner's own replica is never removed";
 }
 
