--- a/bench/durable_bench.cpp
+++ b/bench/durable_bench.cpp
@@ -1,9 +1,9 @@
 // Measures the throughput and latency of durable jobs, relative to plain synced appends on the same disk in
 // the same run, and the time of a start with many unfinished jobs. Not run by CI.
 //
-//   durable_bench ack [--clients 64] [--seconds 3] [--rounds 3]   acknowledged jobs a second, p50, p99
-//   durable_bench copies [--seconds 3] [--rounds 3]               1, 3, 5 copies; 1, 16, 64 in flight
-//   durable_bench recovery [--rounds 3]                           time to serve and memory, by unfinished jobs
+//   durable_bench ack [--clients 64] [--seconds 3] [--rounds 3]  acknowledged jobs a second, p50, p99
+//   durable_bench copies [--seconds 3] [--rounds 3]            1, 3, 5 copies; 1, 16, 64 in flight
+//   durable_bench recovery [--rounds 3]                        time to serve and memory, by unfinished jobs
 #include <fcntl.h>
 #include <sys/epoll.h>
 
@@ -16,12 +16,12 @@
 
 #include "src/durable/sqlite_store.h"
 #include "src/durable/writer.h"
-#include "tests/net/story.h"
+#include "tests/net/e2e_harness.h"
 
 namespace {
 
 using namespace heronway::durable;
-using story::Now;
+using e2e::Now;
 
 struct Figures {
   double per_s = 0, p50_ms = 0, p99_ms = 0;
@@ -90,8 +90,8 @@
 // A scheduler process with its configuration in a folder of its own.
 struct Scheduler {
   static int FreePort() {
-    story::Peer peer;
-    const int port = std::stoi(peer.at.substr(peer.at.find(':') + 1));
+    e2e::Listener peer;
+    const int port = std::stoi(peer.address.substr(peer.address.find(':') + 1));
     peer.Close();
     return port;
   }
@@ -99,7 +99,7 @@
   explicit Scheduler(const std::string& in, int index = 0, int copies = 1) : folder(in) {
     port = FreePort();
     std::string cluster;
-    story::Site site;
+    e2e::Config site;
     site.sockets = 1024;
     if (copies > 1) {
       const auto at = [](int i, int p) {
@@ -149,8 +149,8 @@
   }
   // Number of voting replicas of its Faktory front's group.
   int Voters() const {
-    const std::string all =
-        story::Conn::To(console).Ask("GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
+    const std::string all = e2e::Conn::Connect(console).RequestHttp(
+        "GET /v1/copies HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n");
     int voters = 0;
     const auto own = all.find("\"front\":\"faktory\",\"group\":\"s0/"), end = all.find(']', own);
     for (auto at = all.find("\"votes\":true", own); at < end; at = all.find("\"votes\":true", at + 1))
@@ -177,8 +177,8 @@
     others.emplace_back(folder + "/" + std::to_string(i), i, copies).Start();
   }
   if (copies > 1) {
-    story::Pause(1);
-    for (const double until = Now() + 30; scheduler.Voters() < copies; story::Pause(0.1)) {
+    e2e::Pause(1);
+    for (const double until = Now() + 30; scheduler.Voters() < copies; e2e::Pause(0.1)) {
       if (Now() > until) throw std::runtime_error("copies: the replicas did not join in time");
     }
   }
@@ -189,7 +189,7 @@
   std::vector<Client> all(static_cast<std::size_t>(clients));
   const int poll = epoll_create1(EPOLL_CLOEXEC);
   for (std::size_t i = 0; i < all.size(); ++i) {
-    while ((all[i].fd = scheduler.Connect()) < 0) story::Pause(0.01);
+    while ((all[i].fd = scheduler.Connect()) < 0) e2e::Pause(0.01);
     epoll_event e{EPOLLIN, {.u64 = i}};
     epoll_ctl(poll, EPOLL_CTL_ADD, all[i].fd, &e);
   }
@@ -306,7 +306,7 @@
       const double began = Now();
       scheduler.Start();
       int fd = -1;
-      while ((fd = scheduler.Connect()) < 0) story::Pause(0.0005);
+      while ((fd = scheduler.Connect()) < 0) e2e::Pause(0.0005);
       char hi[64];
       if (recv(fd, hi, sizeof hi, 0) <= 0) throw std::runtime_error("recovery: no greeting");
       latencies_ms.push_back((Now() - began) * 1e3);
--- a/tests/rig/storm_rig.cpp
+++ b/tests/rig/storm_rig.cpp
@@ -4,7 +4,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "story.h"
+#include "e2e_harness.h"
 #include "tests/rig/rig.h"
 
 using namespace heronway;
@@ -47,26 +47,25 @@
                                                   static_cast<std::uint64_t>(seed * 100 + i)));
     discovery.Tell(fleet.back()->entry());
   }
-  story::Site site;
+  e2e::Config site;
   site.discovery = discovery.address();
   for (const auto& w : fleet)
     site.targets += (site.targets.empty() ? "" : ",") +
-                    story::Target(w->entry().name, w->entry().at, w->entry().zone == 0 ? "a" : "b");
+                    e2e::Target(w->entry().name, w->entry().at, w->entry().zone == 0 ? "a" : "b");
   site.sockets = 1024;
   site.warm_up = static_cast<int>(plan.warm_up);
   site.aim = 1'200'000;
   site.deadline = 3'000'000;
-  story::Program program(site.Json(), "{\"enabled\":false}",
-                         std::string("{\"log\":{\"connections\":false,\"form\":\"") +
-                             (json ? "json" : "text") +
-                             "\"},\"limits\":{\"enabled\":" + (on ? "true" : "false") + "}}");
-  for (const auto& w : fleet) w->CallBackTo(program.at);
+  e2e::Program program(site.Json(), "{\"enabled\":false}",
+                       std::string("{\"log\":{\"connections\":false,\"form\":\"") + (json ? "json" : "text") +
+                           "\"},\"limits\":{\"enabled\":" + (on ? "true" : "false") + "}}");
+  for (const auto& w : fleet) w->CallBackTo(program.address);
 
   rig::CrowdPlan crowd_plan;
   crowd_plan.per_s = load * workers * plan.slots * 1e6 / static_cast<double>(plan.run);
   crowd_plan.at_once = at_once;
   crowd_plan.keyed = keyed;
-  rig::Crowd crowd(shared, audit, crowd_plan, program.at, static_cast<std::uint64_t>(seed));
+  rig::Crowd crowd(shared, audit, crowd_plan, program.address, static_cast<std::uint64_t>(seed));
   std::list<net::Timer> timers;
   const auto after = [&](double seconds, std::function<void()> what) {
     timers.emplace_back(loop, std::move(what));
@@ -117,7 +116,7 @@
   loop.Run();
   if (!crowd.idle() && !reload) audit.Break("a try is left without an answer");
   if (!reload) program.Signal(SIGTERM);
-  if (program.Wait() != 0) audit.Break("the program did not end with 0");
+  if (program.WaitForExit() != 0) audit.Break("the program did not end with 0");
 
   auto& s = crowd.seconds;
   s.resize(static_cast<std::size_t>(end) + 6);
