--- a/src/cluster/copies/commands.cpp
+++ b/src/cluster/copies/commands.cpp
@@ -44,7 +44,7 @@
                  s["member"].asString() +
                  (s["on_disk"].isNull() ? "" : ":" + std::to_string(s["on_disk"].asUInt64()));
     }
-    // A leader does not always run the jobs: the owner may be gone before a member has taken them over.
+    // A leader does not always run the jobs: the owner may be gone and no member has taken them over yet.
     const std::string role = g["role"].asString() + (g["held"].asBool() ? ",holds" : "");
     std::printf("%-44s %-13s %-16s %5llu %10llu %10llu  %s\n", g["group"].asCString(), role.c_str(),
                 g["leader"].asCString(), static_cast<unsigned long long>(g["term"].asUInt64()),
--- a/src/cluster/copies/replicated_store.cpp
+++ b/src/cluster/copies/replicated_store.cpp
@@ -114,7 +114,7 @@
     }
     const auto batch = DecodeBatch(committed_entry_->data);
     // Another process has claimed the group, and only its batches count from here on. This store stays at its
-    // position until the group is claimed here again.
+    // position and catches up when the group is claimed here again.
     superseded_ = batch && batch->number == 0 && batch->epoch != epoch_;
     if (superseded_)
       throw StoreError(StoreError::Kind::kOther, "copies: another process has taken the group over");
