--- a/src/match/checker.h
+++ b/src/match/checker.h
@@ -1,4 +1,4 @@
-// Resolves names and gives every expression its type. What does not fit is a fault with its place.
+// Resolves names and gives every expression its type. Type errors are reported with their source range.
 #ifndef HERONWAY_MATCH_CHECKER_H_
 #define HERONWAY_MATCH_CHECKER_H_
 
@@ -10,7 +10,7 @@
 // gives what stands instead.
 void Check(RuleFile& file, std::vector<Diagnostic>& diagnostics);
 
-// Conditions that use conditions: so deep at most.
+// Maximum depth of conditions that use other conditions.
 inline constexpr int kMaxConditionDepth = 32;
 
 }  // namespace heronway::match
--- a/src/match/lexer.h
+++ b/src/match/lexer.h
@@ -1,4 +1,4 @@
-// A rule file's text as tokens. Never fails: what cannot be read is a token of its own kind with the reason.
+// Splits a rule file into tokens. Never fails: invalid input becomes a kInvalid token with the reason.
 #ifndef HERONWAY_MATCH_LEXER_H_
 #define HERONWAY_MATCH_LEXER_H_
 
@@ -16,7 +16,7 @@
 struct Token {
   TokenKind kind = TokenKind::kEnd;
   SourceRange range;
-  std::string text;        // a name, a sign, a string's contents, or what is wrong
+  std::string text;        // a name, a symbol, a string's contents, or the error
   Type type = Type::kInt;  // of a number: int, duration or bytes
   std::int64_t number = 0;
   AddressBytes address{};  // of a network, and how many bits of it count
--- a/src/match/parser.cpp
+++ b/src/match/parser.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kMaxNestingDepth = 64;  // guards the stack against nested brackets
 
-struct ParseAbort {};  // thrown where an item cannot be read on
+struct ParseAbort {};  // thrown when the rest of an item cannot be parsed
 
 class Parser {
  public:
@@ -75,7 +75,7 @@
     return Advance().number;
   }
 
-  // To the next item: guards against faults that only follow from the first.
+  // Skips to the next item, so that one error does not cause others.
   void SkipToNextItem() {
     static const std::set<std::string> kItemKeywords = {"set", "map", "condition", "rate", "rule", "test"};
     int depth = 0;
@@ -311,8 +311,8 @@
       node->children.push_back(std::move(a));
       return node;
     }
-    // `let x = a in b`: an `in` behind the value of a let is the let's own, so a membership there wants
-    // brackets.
+    // `let x = a in b`: an `in` after the value of a let belongs to the let, so a membership test there
+    // needs parentheses.
     if (!IsKeyword("in") || in_let_value_) return a;
     Advance();
     return MakeBinary(NodeKind::kIn, std::move(a), Set());
--- a/src/match/parser.h
+++ b/src/match/parser.h
@@ -1,4 +1,4 @@
-// Reads a rule file into its tree. Goes on after a fault at the next item, so that one run tells of several.
+// Parses a rule file into its syntax tree. After an error it resumes at the next item, to report several.
 //
 //   file  := item*
 //   item  := 'set' NAME '=' list | 'map' NAME '=' '{' literal ':' literal, ... '}'
@@ -18,7 +18,7 @@
 
 namespace heronway::match {
 
-// Appends what is wrong; the tree holds what could be read.
+// Appends errors to `diagnostics`; the tree holds the items that could be parsed.
 RuleFile Parse(std::string_view text, std::vector<Diagnostic>& diagnostics);
 
 }  // namespace heronway::match
--- a/src/match/source.cpp
+++ b/src/match/source.cpp
@@ -14,7 +14,7 @@
     const auto [line, column] = Locate(text, at);
     const std::size_t from = at - (column - 1), to = std::min(text.find('\n', from), text.size());
     std::string shown(text.substr(from, std::min<std::size_t>(to - from, 160)));
-    // Guards the terminal of whoever reads it: bytes that are no text are not passed on.
+    // Protects the reader's terminal: control characters are shown as spaces.
     for (char& c : shown) c = c == '\t' || (static_cast<unsigned char>(c) < 0x20 || c == 0x7f) ? ' ' : c;
     out += (out.empty() ? "" : "\n") + file + ":" + std::to_string(line) + ":" + std::to_string(column) +
            ": " + f.message;
--- a/src/match/source.h
+++ b/src/match/source.h
@@ -1,4 +1,4 @@
-// A rule file's text and the faults found in it, each with its place.
+// Source ranges of a rule file and the diagnostics for them.
 #ifndef HERONWAY_MATCH_SOURCE_H_
 #define HERONWAY_MATCH_SOURCE_H_
 
@@ -19,7 +19,7 @@
   std::string message;
 };
 
-// Several faults of one file; what() is the text for people: file:line:column, the line, a caret.
+// Several diagnostics of one file; what() renders them: file:line:column, the line, a caret.
 class RuleError : public std::runtime_error {
  public:
   RuleError(const std::string& file, std::string_view text, std::vector<Diagnostic> diagnostics);
@@ -34,7 +34,7 @@
 };
 LineColumn Locate(std::string_view text, std::size_t at);
 
-inline constexpr std::size_t kMaxReportedFaults = 20;  // told of one file
+inline constexpr std::size_t kMaxReportedFaults = 20;  // per file
 inline constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024;
 
 }  // namespace heronway::match
--- a/tests/match/tree_interpreter.h
+++ b/tests/match/tree_interpreter.h
@@ -1,5 +1,5 @@
-// The matching language as its reference says, by a plain walk over the checked tree: slow, allocating, and
-// written apart from the compiler, so that the two can be held against each other.
+// Reference implementation of the rule language: interprets the checked syntax tree. Slow, allocating, and
+// independent of the compiler, so that tests can compare the two.
 #ifndef HERONWAY_TESTS_MATCH_TREE_INTERPRETER_H_
 #define HERONWAY_TESTS_MATCH_TREE_INTERPRETER_H_
 
