--- a/src/cluster/copies/placement.cpp
+++ b/src/cluster/copies/placement.cpp
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-std::vector<std::string> Place(const std::string& owner, const std::vector<Candidate>& members, int copies) {
+std::vector<std::string> ChooseReplicas(const std::string& owner, const std::vector<Candidate>& members,
+                                        int count) {
   std::vector<const Candidate*> by_weight;
   for (const Candidate& c : members) {
     if (c.gone_since < 0) by_weight.push_back(&c);
@@ -34,10 +35,10 @@
   });
   std::vector<std::string> out;
   std::set<std::string> zones;
-  // First one a zone, then whoever is left: three copies in two zones are better than two.
+  // One member of each zone first, then the rest: three replicas in two zones are better than two replicas.
   for (const bool spread : {true, false}) {
     for (const Candidate* c : by_weight) {
-      if (static_cast<int>(out.size()) >= copies) return out;
+      if (static_cast<int>(out.size()) >= count) return out;
       if (std::find(out.begin(), out.end(), c->name) != out.end()) continue;
       if (spread && !zones.insert(c->zone).second) continue;
       out.push_back(c->name);
@@ -46,33 +47,34 @@
   return out;
 }
 
-std::optional<Move> NextMove(const std::string& owner, const std::vector<std::string>& holders,
-                             const std::vector<Candidate>& members, int copies, Micros now, Micros patience,
-                             bool balance) {
-  const std::vector<std::string> wanted = Place(owner, members, copies);
-  const auto holds = [&](const std::string& name) {
-    return std::find(holders.begin(), holders.end(), name) != holders.end();
+std::optional<ReplicaChange> NextChange(const std::string& owner, const std::vector<std::string>& current,
+                                        const std::vector<Candidate>& members, int count, Micros now,
+                                        Micros replacement_delay, bool rebalance) {
+  const std::vector<std::string> wanted = ChooseReplicas(owner, members, count);
+  const auto is_current = [&](const std::string& name) {
+    return std::find(current.begin(), current.end(), name) != current.end();
   };
   const auto is_wanted = [&](const std::string& name) {
     return std::find(wanted.begin(), wanted.end(), name) != wanted.end();
   };
-  std::string add, lost, spare;
+  std::string add, gone_member, surplus;
   for (const std::string& name : wanted) {
-    if (add.empty() && !holds(name)) add = name;
+    if (add.empty() && !is_current(name)) add = name;
   }
-  for (const std::string& name : holders) {
+  for (const std::string& name : current) {
     const Candidate* c = Find(members, name);
-    // One that is not known any more was forgotten long ago.
-    const bool gone = c == nullptr || (c->gone_since >= 0 && now - c->gone_since >= patience);
-    if (gone) lost = name;
-    if (!gone && name != owner && !is_wanted(name) && c->gone_since < 0) spare = name;
+    // A member that is no longer known has been gone for longer than membership keeps members.
+    const bool gone = c == nullptr || (c->gone_since >= 0 && now - c->gone_since >= replacement_delay);
+    if (gone) gone_member = name;
+    if (!gone && name != owner && !is_wanted(name) && c->gone_since < 0) surplus = name;
   }
-  const int held = static_cast<int>(holders.size());
-  if (!lost.empty() && held > copies) return Move{"", lost};
-  if (!lost.empty() && !add.empty()) return Move{add, lost};
-  if (held < copies && !add.empty()) return Move{add, ""};
-  if (held > copies && !spare.empty()) return Move{"", spare};
-  if (balance && held == copies && !add.empty() && !spare.empty()) return Move{add, spare};
+  const int current_count = static_cast<int>(current.size());
+  if (!gone_member.empty() && current_count > count) return ReplicaChange{"", gone_member};
+  if (!gone_member.empty() && !add.empty()) return ReplicaChange{add, gone_member};
+  if (current_count < count && !add.empty()) return ReplicaChange{add, ""};
+  if (current_count > count && !surplus.empty()) return ReplicaChange{"", surplus};
+  if (rebalance && current_count == count && !add.empty() && !surplus.empty())
+    return ReplicaChange{add, surplus};
   return std::nullopt;
 }
 
--- a/src/core/reducer.h
+++ b/src/core/reducer.h
@@ -1,9 +1,11 @@
-// The core: one reducer, `(State, Event, now) -> effects`. It knows no wire, no socket and no clock.
+// The scheduling core: a reducer `(State, Event, now) -> effects` without wire protocol, I/O or clock.
 //
-// A front turns what its wire says into events, and carries out the effects that come back, in their order.
-// The reducer owns the decision module (`pebblenotch::Dispatcher`), keeps each request's hops, and is the
-// only place where state changes. Terms: an egress target is a worker, a hop is one attempt, a ticket is the
-// front's handle for a request (never used twice), an id is the request's name on the wire.
+// A front translates its wire protocol into events and executes the returned effects in order. The reducer
+// owns the decision module (`pebblenotch::Dispatcher`) and the hops of each request, and only Reduce changes
+// that state.
+// Terms: an egress target is a worker in the module, and a hop is an attempt there. A ticket is the front's
+// handle of a request and is never reused; an id is the name of the request on the wire. All times are in
+// microseconds.
 #ifndef HERONWAY_CORE_REDUCER_H_
 #define HERONWAY_CORE_REDUCER_H_
 
@@ -21,11 +23,11 @@
 #include <vector>
 
 #include "pebblenotch/brain.h"
-#include "src/cluster/membership/standing.h"
+#include "src/cluster/membership/quorum_state.h"
 #include "src/core/invariants.h"
 #include "src/core/stop_times.h"
 #include "src/core/tenants.h"
-#include "src/durable/keeper.h"
+#include "src/durable/job_manager.h"
 #include "src/limits/limits.h"
 
 namespace heronway::core {
@@ -37,43 +39,47 @@
 using Ticket = pebblenotch::RequestId;
 using TargetId = pebblenotch::WorkerId;
 
-// ---- events
-struct Arrived {
-  pebblenotch::Request request;       // its `id` is the ticket; its `deadline` is when the client gives up
-  std::string id;                     // the name that the wire gives it; no two requests held have the same
-  Micros hop_limit = 0;               // the longest that one hop may take; 0: until the client gives up
-  int most_hops = 0;                  // the client wants no more than this; 0: as many as the site allows
-  std::string client;                 // by which a repeat is known again; empty: by nothing
-  bool client_is_job = true;          // `client` names the job itself, so that to see it again is a repeat
-  std::string tenant;                 // whose it is, for the counts; empty: nobody's
-  std::optional<durable::Task> task;  // durable: taken with this, and its first round begins
-  bool round = false;                 // durable: another round of a job that was taken; no client waits
-  bool no_room = false;  // the front cannot hold it: it is refused at once, with a time to come back
-};
-enum class News : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
-struct HopNews {  // what a target reports of a request, by the names of the wire
+// Events.
+
+struct RequestArrived {
+  pebblenotch::Request request;  // `id` is the ticket, `deadline` the time at which the client gives up
+  std::string id;                // name on the wire, unique among pending requests
+  Micros hop_timeout = 0;        // for each hop; 0: until the client's deadline
+  int max_hops = 0;              // limit set by the client; 0: only the configured limit applies
+  std::string client;            // identity by which retries are recognized; empty: none
+  bool client_names_job = true;  // `client` identifies the job, so seeing it again is a retry
+  std::string tenant;            // for the counters of each tenant; empty: not counted
+  std::optional<durable::JobSpec> task;  // durable job to accept; this is its first round
+  bool round = false;                    // a round that StartRound asked for; no client waits
+  bool no_capacity = false;              // the front cannot hold it: shed immediately, with a retry delay
+};
+enum class CallbackState : std::uint8_t { kStarted, kRunning, kDone, kFailed, kReturned, kLost };
+// A report from a target on a request that it received.
+struct HopCallback {
   std::string id;
   TargetId from = 0;
-  News news = News::kStarted;
-  double share = 0;
-  std::string result;
+  CallbackState state = CallbackState::kStarted;
+  double share = 0;    // with kRunning: the part of the job that is done
+  std::string result;  // with kDone: the result; with kFailed: the reason, kept with a durable job
   std::optional<Report> report;
 };
-struct HopTaken {  // the target has said that it has it
+struct HopAccepted {  // the target has confirmed that it received the hop
   Ticket request = 0;
   int hop = 0;
 };
-struct HopEnded {  // the hop's carrier ended it: refused, broken, answered with an error
+// The transport reports the end of a hop: the target shed it, its connection broke, or it answered an error.
+struct HopEnded {
   Ticket request = 0;
   int hop = 0;
   Result result = Result::kError;
   std::optional<Report> report;
-  bool rejected = false;  // the target cannot use the request itself: it never ran, and never will
+  bool rejected = false;  // the target found the request malformed; it has not run and is not retried
 };
-struct HopCalledOff {  // the target has been told, or cannot be
+// The front has finished a CancelHop: the target was notified, or could not be.
+struct HopCancelled {
   Ticket request = 0;
   int hop = 0;
-  bool never_ran = false;  // it was taken back before the target had it
+  bool never_ran = false;  // cancelled before the target received it
 };
 struct ProbeEnded {
   TargetId target = 0;
@@ -81,91 +87,99 @@
   Micros latency = 0;
   std::optional<Report> report;
 };
-struct IngressGone {
+// The client has disconnected for good.
+struct IngressDisconnected {
   Ticket request = 0;
 };
-// Its client's connection has ended (`away`), and it may come back for the answer, or it is there again.
-// While it is away what is out runs on, and nothing more is sent.
-struct IngressAway {
+// The client's connection has ended and the client may reconnect for the answer (`away`), or it has
+// reconnected (not `away`). While the client is away, hops in flight continue and no further hop is sent.
+struct IngressDetached {
   Ticket request = 0;
   bool away = true;
 };
-struct IngressCame {};  // a connection, with nothing on it yet
+struct IngressConnected {};  // a new client connection, before its first request
 struct RoutesChanged {
   ListKind kind = ListKind::kChanges;
   std::vector<pebblenotch::WorkerEntry> entries;
 };
-struct Wake {};
-struct DrainBegun {};
-// Of durable jobs only. Such a job is known by its id throughout; a ticket is one round of it.
-struct Submitted {  // taken without a client that waits for its outcome
+struct Wake {};          // the time of the last WakeAt has come
+struct DrainStarted {};  // the process shuts down gracefully
+// The following concern durable jobs. A job keeps its id from start to end; each of its rounds has its own
+// ticket.
+struct JobSubmitted {  // accepted without a client that waits for the outcome
   std::string id;
-  durable::Task task;
+  durable::JobSpec task;
 };
-struct RoundVoid {  // the front can make no request of it any more
+struct RoundInvalid {  // the front can no longer build a request from the job
   std::string id;
 };
-struct TargetAlive {  // a sign of life that concerns no hop by name
+struct TargetHeartbeat {  // a heartbeat that refers to no particular hop
   TargetId target = 0;
 };
-struct OrderCame {  // of an operator's tool
-  durable::Order order;
+struct OperatorOrder {  // from an operator's tool
+  durable::OperatorCommand order;
 };
-struct StoreRead {};  // what was stored is there: the first event
-struct Cordon {       // an operator's drain (`on`), or its end: no new clients, nothing else changes
+struct StoreLoaded {};  // recovery from the store is complete; the first event
+struct Cordon {         // an operator drains this process (`on`) or reactivates it; affects readiness only
   bool on = true;
 };
-// What this scheduler sees of its fleet, where the cluster is on: how much of it, and how many to count on.
-struct FleetSeen {
-  cluster::Standing standing = cluster::Standing::kWhole;
+// This scheduler's view of the cluster: the quorum state and the number of schedulers to share targets with.
+struct FleetView {
+  cluster::QuorumState quorum = cluster::QuorumState::kAllPresent;
   int schedulers = 1;
 };
-struct Doubted {  // others say that it fails: worth one probe
+struct TargetSuspected {  // other schedulers report that it fails; it is probed once
   TargetId target = 0;
 };
-struct HeardLoad {  // what a target told another scheduler, `age` ago
+struct GossipedLoad {  // load that a target reported to another scheduler `age` ago
   TargetId target = 0;
   Report report;
   Micros age = 0;
 };
-// Of durable jobs that another scheduler held, or another process of this one (see durable::Keeper's homes).
-struct JobsTaken {  // part of them; `first`: of a home
-  int home = 0;
-  bool first = false;
-  durable::Micros clock_broke = 0;  // what ran up to then ran by another's clock
+// A batch of durable jobs from the store of another scheduler, or of an earlier process of this one. Store
+// ids are those of durable::JobManager.
+struct JobsAdopted {
+  int store_id = 0;
+  bool first = false;                    // the first batch from this store
+  durable::Micros clock_stepped_at = 0;  // runs up to this time were timed by the clock of another host
   std::vector<std::pair<std::string, durable::Job>> jobs;
 };
-struct HomeClosing {  // they are to be handed back: none begins another round
-  int home = 0;
+// The jobs of this store are about to be handed back to their own scheduler; none starts another round.
+struct StoreClosing {
+  int store_id = 0;
 };
-struct HomeLost {  // they are another's now: nothing of them is answered from here any more
-  int home = 0;
+// The jobs of this store now belong to another scheduler, and none is answered from here any more.
+struct StoreLost {
+  int store_id = 0;
 };
 using Event =
-    std::variant<Arrived, HopNews, HopTaken, HopEnded, HopCalledOff, ProbeEnded, IngressGone, IngressAway,
-                 IngressCame, RoutesChanged, Wake, DrainBegun, Submitted, RoundVoid, TargetAlive, OrderCame,
-                 StoreRead, Cordon, FleetSeen, Doubted, HeardLoad, JobsTaken, HomeClosing, HomeLost>;
+    std::variant<RequestArrived, HopCallback, HopAccepted, HopEnded, HopCancelled, ProbeEnded,
+                 IngressDisconnected, IngressDetached, IngressConnected, RoutesChanged, Wake, DrainStarted,
+                 JobSubmitted, RoundInvalid, TargetHeartbeat, OperatorOrder, StoreLoaded, Cordon, FleetView,
+                 TargetSuspected, GossipedLoad, JobsAdopted, StoreClosing, StoreLost>;
+
+// Effects.
 
-// ---- effects
 struct SendHop {
   Ticket request;
   int hop;
   TargetId target;
-  // The attempt's end. A time and no span: it may wait for a store before it leaves, and what its target is
-  // told is what is left then.
+  // The deadline of the hop. It is absolute because the hop may wait for the store; the target is sent the
+  // time that remains when the hop is sent.
   Micros until;
-  bool durable = false;  // here and below: not before the records so far are stored
-  int home = 0;          // by whose store
+  bool durable = false;  // in all effects: carry it out only after all earlier records are stored
+  int store_id = 0;      // with `durable`: the store to wait for
 };
-struct CallOffHop {  // answered by one HopCalledOff
+struct CancelHop {  // the front responds with one HopCancelled
   Ticket request;
   int hop;
   TargetId target;
   std::string id;
   bool durable = false;
-  int home = 0;
+  int store_id = 0;
 };
-struct HopOver {  // by its target's call-back: the carrier need not wait for an answer to the hop itself
+// The target reported the end of the hop by callback; the transport need not wait for a response.
+struct HopCompleted {
   Ticket request;
   int hop;
 };
@@ -174,207 +188,219 @@
   Ticket request;
   AnswerKind kind;
   Micros retry_after;  // 0: no advice
-  std::string result;  // where served, untouched
+  std::string result;  // if served; passed through unchanged
   bool durable = false;
-  Micros by = 0;  // durable: when its client has to have it
-  int home = 0;
+  Micros by = 0;  // with `durable`: the time by which the client must have the answer
+  int store_id = 0;
 };
 struct StartProbe {
   TargetId target;
 };
 struct SubscribeRoutes {};
-struct WakeAt {  // replaces the one before
+struct WakeAt {  // send Wake at this time; replaces the previous WakeAt
   Micros at;
 };
-struct Drained {};
-struct StormChanged {  // to be told to the operators
+struct Drained {};     // the graceful shutdown is complete
+struct StormChanged {  // to be reported to operators
   limits::StormChange change;
 };
-struct Persist {  // to the store, in this order
+struct Persist {  // to be stored in this order
   std::vector<durable::Record> records;
-  int home = 0;
+  int store_id = 0;
 };
-struct Resume {  // a round of this job is due: the front makes an Arrived of it, or a RoundVoid
+// A round of this job is due. The front responds with a RequestArrived, or with RoundInvalid.
+struct StartRound {
   std::string id;
-  int home = 0;
+  int store_id = 0;
 };
-struct Settled {  // this job has its answer, or is gone: whoever waits for it is told
+// The job has its final result or was discarded; the front notifies clients that wait for it.
+struct Settled {
   std::string id;
-  int home = 0;
+  int store_id = 0;
 };
-using Effect = std::variant<SendHop, CallOffHop, HopOver, Answer, StartProbe, SubscribeRoutes, WakeAt,
-                            Drained, StormChanged, Persist, Resume, Settled>;
+using Effect = std::variant<SendHop, CancelHop, HopCompleted, Answer, StartProbe, SubscribeRoutes, WakeAt,
+                            Drained, StormChanged, Persist, StartRound, Settled>;
 
-struct ClassCounts {  // of one class, by the names that the operators' figures give them
+struct ClassCounts {  // counters of a class, named as in the metrics
   std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
 };
 struct Counters {
-  std::vector<ClassCounts> by_class;  // by the module's class index; a class not seen yet has no entry
-  std::uint64_t taken = 0, hops = 0, called_off = 0, probes = 0;
-  std::uint64_t served = 0, shed = 0, failed = 0, rejected = 0, gone = 0;
+  std::vector<ClassCounts> by_class;  // by class index; classes not seen yet have no entry
+  std::uint64_t taken = 0, hops = 0, cancelled = 0, probes = 0;
+  std::uint64_t served = 0, shed = 0, failed = 0, rejected = 0, disconnected = 0;
   std::uint64_t hop_results[8] = {};  // by pebblenotch::Result
-  std::uint64_t late_news = 0;        // call-backs that matched no hop
+  std::uint64_t late_callbacks = 0;   // callbacks that matched no hop
   Invariants invariants;
 };
 
 class Reducer {
  public:
-  // `take_limit`: a hop that its target has not taken, and of which nothing is heard, is called off after
-  // this long; 0: never. `limits`: where they are enabled, the module decides by their figures, and refused
-  // clients are told times of their calendar.
-  // `keeper`: of durable jobs, with what was stored in it; null: there are none.
-  Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros take_limit = 0,
-          const limits::Settings& limits = {}, std::unique_ptr<durable::Keeper> keeper = nullptr);
+  // `accept_timeout`: a hop is cancelled if its target has not confirmed it within this time; 0: never.
+  // `limits`: if enabled, the limits set the module's allowances and the retry delays of shed clients.
+  // `job_manager`: holds the durable jobs restored from the store; null if durable jobs are off.
+  Reducer(const pebblenotch::Settings& settings, std::uint64_t seed, Micros now, Micros accept_timeout = 0,
+          const limits::Settings& limits = {}, std::unique_ptr<durable::JobManager> job_manager = nullptr);
 
-  // Takes one event and appends what is to be done about it.
+  // Processes one event and appends the resulting effects.
   void Reduce(Micros now, Event event, std::vector<Effect>& effects);
 
-  // Requests that have no final answer yet and whose client waits for one.
-  std::size_t held() const { return held_ - rounds_; }
-  // The id belongs to a request that is held, or was until of late.
-  bool Known(const std::string& id) const {
-    return by_id_.contains(id) || recent_.contains(std::hash<std::string>{}(id));
+  // The number of requests without a final answer whose client waits for one.
+  std::size_t pending() const { return unanswered_ - rounds_in_progress_; }
+  // Whether the id belongs to an unanswered request or to one that ended recently.
+  bool IsKnown(const std::string& id) const {
+    return by_id_.contains(id) || recent_id_hashes_.contains(std::hash<std::string>{}(id));
   }
-  bool Holds(const std::string& id) const { return by_id_.contains(id); }
-  bool draining() const { return drain_began_ >= 0; }
-  // The times of a graceful shutdown, from its beginning.
+  // Whether the id belongs to an unanswered request.
+  bool IsPending(const std::string& id) const { return by_id_.contains(id); }
+  bool draining() const { return drain_started_at_ >= 0; }
+  // The deadlines of a graceful shutdown, relative to its start.
   const StopTimes& stop_times() const { return stop_times_; }
-  // A graceful shutdown has come so far that whatever arrives is refused at once.
-  bool RefusesAll(Micros now) const {
-    return drain_began_ >= 0 && now >= drain_began_ + stop_times_.answers_due - kAnswerMargin;
+  // Whether the graceful shutdown has come so far that every new request is shed immediately.
+  bool ShedsAllArrivals(Micros now) const {
+    return drain_started_at_ >= 0 && now >= drain_started_at_ + stop_times_.answers_due - kAnswerMargin;
   }
-  bool cordoned() const { return cordoned_; }  // by an operator: wants no new clients
+  bool cordoned() const { return cordoned_; }  // drained by an operator: not ready for new clients
   const Counters& counters() const { return counters_; }
-  // Of what is broken while it acts, those of the decision module included.
+  // The violation counts, including those found by the decision module.
   Invariants invariants() const;
-  // Nothing that is held depends on it: jobs run on and are answered in every standing.
-  const FleetSeen& fleet() const { return fleet_; }
-  const pebblenotch::Dispatcher& module() const { return module_; }  // to look in; changes nothing
-  const Tenants& tenants() const { return tenants_; }
-  const durable::Keeper* keeper() const { return keeper_.get(); }  // null where nothing is durable
-  const limits::Limits* limits() const { return limits_.get(); }   // null where they are off
+  // The latest view of the cluster. Requests are served and answered in every quorum state.
+  const FleetView& fleet() const { return fleet_; }
+  const pebblenotch::Dispatcher& module() const { return module_; }  // for inspection
+  const TenantTable& tenants() const { return tenants_; }
+  // Null if durable jobs are off.
+  const durable::JobManager* job_manager() const { return job_manager_.get(); }
+  // Null if limits are disabled.
+  const limits::Limits* limits() const { return limits_.get(); }
 
-  // An answer must reach the client before it gives up; what the link and a busy core may take comes off.
+  // Subtracted from the client's deadline to allow for network latency and a busy CPU.
   static constexpr Micros kAnswerMargin = 30'000;
-  // At the deadline, how long the front has for saying what became of a hop that it calls off.
-  static constexpr Micros kTellGrace = 3'000;
-  // Ids of requests that are over are remembered for so long, and so many of them at most.
-  static constexpr Micros kRemember = 60'000'000;
-  static constexpr std::size_t kMostRemembered = 8192;
-  // While there is a storm its watch is looked at this often, however quiet it is.
-  static constexpr Micros kWatchStorm = 500'000;
-  // What a request that cannot be held is told, where the limits know no better.
-  static constexpr Micros kNoRoomWait = 1'000'000;
+  // Time after the deadline in which the front can still report the outcome of a cancelled hop.
+  static constexpr Micros kCancelGrace = 3'000;
+  // Ids of ended requests are retained for this time, and at most this many of them.
+  static constexpr Micros kIdRetention = 60'000'000;
+  static constexpr std::size_t kMaxRetainedIds = 8192;
+  // Storm detection is evaluated at least this often during a storm, even without traffic.
+  static constexpr Micros kStormCheckInterval = 500'000;
+  // Retry delay of a request that the front cannot hold, unless the limits set another.
+  static constexpr Micros kNoCapacityRetryAfter = 1'000'000;
 
  private:
-  enum class HopState : std::uint8_t { kOut, kCallingOff, kEnded };
+  enum class HopState : std::uint8_t { kInFlight, kCancelling, kEnded };
   struct Hop {
     TargetId target = 0;
     Micros sent = 0;
-    HopState state = HopState::kOut;
-    bool may_have_run = false;  // once it has ended
-    bool taken = false;         // by the target's word, whichever way it came
-    std::uint32_t epoch = 0;    // durable: of its lease
-    Result called_off_as = Result::kCancelled;
+    HopState state = HopState::kInFlight;
+    bool may_have_run = false;  // valid once it has ended
+    bool accepted = false;      // confirmed by the target, in a response or callback
+    std::uint32_t epoch = 0;    // lease epoch, if the request is durable
+    Result cancel_result = Result::kCancelled;
   };
+  // A request, from its arrival until it is answered and all its hops have ended.
   struct Job {
     std::string id;
-    Micros came_at = 0, deadline = 0, hop_limit = 0;
-    int most_hops = 0;
+    Micros arrived_at = 0, deadline = 0, hop_timeout = 0;
+    int max_hops = 0;
     int job_class = 0;
-    Tenants::Place tenant = Tenants::kNone;
+    TenantTable::RowIndex tenant = TenantTable::kNone;
     limits::ClientHash client = 0;
-    limits::Limits::Arrival came;
+    limits::Limits::Arrival arrival;
     bool answered = false;
-    bool away = false;                    // its client is
-    bool durable = false, round = false;  // `round`: durable, and no client waits
-    int home = 0;                         // durable
+    bool away = false;                    // the client's connection has ended; it may reconnect
+    bool durable = false, round = false;  // `round`: no client waits
+    int store_id = 0;                     // if `durable`
     std::vector<Hop> hops;
   };
-  struct Due {
+  // The kind of a timer that belongs to no hop.
+  enum TimerKind : int {
+    kModuleTimer,
+    kEarliestExitTimer,  // of a graceful shutdown; Reduce checks whether the shutdown is complete
+    kAnswersDueTimer,    // of a graceful shutdown
+    kStormCheckTimer,
+    kJobManagerTimer,
+  };
+  struct Timer {
     Micros at;
-    Ticket request;  // 0: a timer: by `hop` 0 the module's, 1 and 2 the drain's, 3 the storm watch's, 4 the
-                     // keeper's
-    int hop;
-    std::uint32_t label;  // of the module's timer
-    bool take = false;    // the hop must have been taken by now
-    bool operator>(const Due& o) const { return at > o.at; }
+    Ticket request;           // 0: not a deadline of a hop
+    int hop;                  // if `request` is 0: a TimerKind
+    std::uint32_t label;      // with kModuleTimer: the label of the timer in the module
+    bool acceptance = false;  // cancels the hop if its target has not confirmed it
+    bool operator>(const Timer& o) const { return at > o.at; }
   };
 
-  void On(Arrived& e);
-  void On(HopNews& e);
-  void On(HopTaken& e);
+  void On(RequestArrived& e);
+  void On(HopCallback& e);
+  void On(HopAccepted& e);
   void On(HopEnded& e);
-  void On(HopCalledOff& e);
+  void On(HopCancelled& e);
   void On(ProbeEnded& e);
-  void On(IngressGone& e);
-  void On(IngressAway& e);
-  void On(IngressCame&);
+  void On(IngressDisconnected& e);
+  void On(IngressDetached& e);
+  void On(IngressConnected&);
   void On(RoutesChanged& e);
   void On(Wake&);
-  void On(DrainBegun&);
-  void On(Submitted& e);
-  void On(RoundVoid& e);
-  void On(TargetAlive& e);
-  void On(OrderCame& e);
-  void On(StoreRead&);
-  void On(JobsTaken& e);
-  void On(HomeClosing& e);
-  void On(HomeLost& e);
+  void On(DrainStarted&);
+  void On(JobSubmitted& e);
+  void On(RoundInvalid& e);
+  void On(TargetHeartbeat& e);
+  void On(OperatorOrder& e);
+  void On(StoreLoaded&);
+  void On(JobsAdopted& e);
+  void On(StoreClosing& e);
+  void On(StoreLost& e);
   void On(Cordon& e) { cordoned_ = e.on; }
-  void On(FleetSeen& e);
-  void On(Doubted& e);
-  void On(HeardLoad& e);
-  ClassCounts& CountsOf(int job_class);
-  bool MayBegin(const Job& job, Micros limit);
+  void On(FleetView& e);
+  void On(TargetSuspected& e);
+  void On(GossipedLoad& e);
+  ClassCounts& ClassCountsOf(int job_class);
+  bool MayStartHop(const Job& job, Micros time_limit);
 
-  void TellKeeper(const Job& job, int hop, const HopNews& e);
-  void OrphanNews(const HopNews& e);
-  void LookAtDurable();
-  void OfferRounds();
-  void LeaveIdleRounds();
-  void Flush();
-  void Tell(const pebblenotch::Event& event);
-  void Carry(const pebblenotch::Action& action);
+  void ReportToJobManager(const Job& job, int hop, const HopCallback& e);
+  void HandleUnmatchedCallback(const HopCallback& e);
+  void ProcessDueJobs();
+  void StartDueRounds();
+  void EndIdleRounds();
+  void EmitRecords();
+  void NotifyModule(const pebblenotch::Event& event);
+  void Execute(const pebblenotch::Action& action);
   void EndHop(Ticket ticket, int hop, Result result, std::optional<Report> report, bool finished);
-  void CallOff(Ticket ticket, int hop, Result as);
+  void Cancel(Ticket ticket, int hop, Result reason);
   void FinalAnswer(Ticket ticket, AnswerKind kind, Micros retry_after, std::string result);
-  void RoundOver(const Job& job, AnswerKind kind, Micros wait);
-  void ForgetIfOver(Ticket ticket);
-  void Release(const std::string& id);
-  void AnswerAllInDrain();
-  void AnswerAndGoOn(Ticket ticket);
-  void LookAtStorm();
-  void GiveFigures();
+  void FinishRound(const Job& job, AnswerKind kind, Micros retry_delay);
+  void EraseIfFinished(Ticket ticket);
+  void RetainId(const std::string& id);
+  void AnswerAllForShutdown();
+  void AnswerAndContinueJob(Ticket ticket);
+  void CheckStorm();
+  void UpdateAllowance();
   Hop* FindHop(Ticket ticket, int hop);
 
   pebblenotch::Settings settings_;
   StopTimes stop_times_;
   pebblenotch::Dispatcher module_;
   std::unique_ptr<limits::Limits> limits_;
-  std::unique_ptr<durable::Keeper> keeper_;
-  durable::Records records_;                               // not handed to the store yet
-  std::unordered_map<TargetId, durable::Holder> holders_;  // durable: where targets stand
-  Micros keeper_wake_ = 0;
-  Micros now_ = 0, take_limit_;
+  std::unique_ptr<durable::JobManager> job_manager_;
+  durable::Records records_;  // to be emitted with the next Persist
+  std::unordered_map<TargetId, durable::LeaseHolder> target_locations_;  // only with a job manager
+  Micros job_manager_wakeup_ = 0;  // earliest kJobManagerTimer in timers_; 0: none
+  Micros now_ = 0, accept_timeout_;
   std::vector<Effect>* effects_ = nullptr;
-  std::deque<pebblenotch::Action> actions_;
-  bool carrying_ = false;
+  std::deque<pebblenotch::Action> actions_;  // of the module, not executed yet
+  bool executing_ = false;
 
   std::unordered_map<Ticket, Job> jobs_;
   std::unordered_map<std::string, Ticket> by_id_;
-  std::deque<std::pair<Micros, std::size_t>> released_;  // hashes of ids, oldest first
-  std::unordered_set<std::size_t> recent_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  Micros armed_ = 0;
-  bool watching_ = false;  // a wake is due for the storm's watch
-  std::size_t held_ = 0, hops_out_ = 0;
-  std::size_t rounds_ = 0;  // of those held, no client waits
-  Micros drain_began_ = -1;
+  std::deque<std::pair<Micros, std::size_t>> ended_ids_;  // end time and hash, oldest first
+  std::unordered_set<std::size_t> recent_id_hashes_;      // hashes of the ids in ended_ids_
+  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
+  Micros armed_wakeup_ = 0;             // time of the last WakeAt; 0: none since the last Wake
+  bool storm_check_scheduled_ = false;  // a kStormCheckTimer is in timers_
+  std::size_t unanswered_ = 0, hops_in_flight_ = 0;
+  std::size_t rounds_in_progress_ = 0;  // unanswered requests for which no client waits
+  Micros drain_started_at_ = -1;        // -1: not draining
   bool drained_ = false, cordoned_ = false;
   Counters counters_;
-  FleetSeen fleet_;
-  Tenants tenants_;
+  FleetView fleet_;
+  TenantTable tenants_;
 };
 
 }  // namespace heronway::core
--- a/src/fronts/http/values.h
+++ b/src/fronts/http/header_values.h
@@ -1,6 +1,6 @@
-// Values as headers and reports write them, and the headers that pass on to a target.
-#ifndef HERONWAY_FRONTS_HTTP_VALUES_H_
-#define HERONWAY_FRONTS_HTTP_VALUES_H_
+// Parsing of numbers in headers and load reports, and the list of headers forwarded to targets.
+#ifndef HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
+#define HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
 
 #include <charconv>
 #include <cmath>
@@ -11,12 +11,13 @@
 
 namespace heronway::http {
 
-inline constexpr const char* kPassedOn[] = {"Idempotency-Key", "Req-Key", "Req-Extra", "Req-Retry",
-                                            "Content-Type"};
+// Headers of a client's request that a hop carries on to its target.
+inline constexpr const char* kForwardedHeaders[] = {"Idempotency-Key", "Req-Key", "Req-Extra", "Req-Retry",
+                                                    "Content-Type"};
 
-// The whole text as a number; nothing where it is none, or not finite.
+// Parses the entire text as a number. Returns nullopt if it is not one or is not finite.
 template <typename T>
-std::optional<T> ReadNumber(std::string_view text, int base = 10) {
+std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T value{};
   std::from_chars_result r{};
   if constexpr (std::is_floating_point_v<T>) {
@@ -29,8 +30,8 @@
   return value;
 }
 
-// "a=1,b=2" to its pairs; what is not a number is passed over.
-inline std::map<std::string, double> ReadPairs(std::string_view text) {
+// Parses "a=1,b=2" into name-value pairs, skipping entries whose value is not a number.
+inline std::map<std::string, double> ParsePairs(std::string_view text) {
   std::map<std::string, double> out;
   while (!text.empty()) {
     const auto end = std::min(text.find(','), text.size());
@@ -39,7 +40,7 @@
     while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
     const auto eq = pair.find('=');
     if (eq == pair.npos) continue;
-    if (const auto value = ReadNumber<double>(pair.substr(eq + 1)))
+    if (const auto value = ParseNumber<double>(pair.substr(eq + 1)))
       out[std::string(pair.substr(0, eq))] = *value;
   }
   return out;
@@ -47,4 +48,4 @@
 
 }  // namespace heronway::http
 
-#endif  // HERONWAY_FRONTS_HTTP_VALUES_H_
+#endif  // HERONWAY_FRONTS_HTTP_HEADER_VALUES_H_
--- a/src/match/checker.h
+++ b/src/match/checker.h
@@ -1,4 +1,4 @@
-// Resolves names and gives every expression its type. What does not fit is a fault with its place.
+// Resolves names and gives every expression its type. Type errors are reported with their source range.
 #ifndef HERONWAY_MATCH_CHECKER_H_
 #define HERONWAY_MATCH_CHECKER_H_
 
@@ -8,10 +8,10 @@
 
 // What may be missing (an option) makes what is computed from it missing; a test of it is false; `or_else`
 // gives what stands instead.
-void Check(FileText& file, std::vector<Fault>& faults);
+void Check(RuleFile& file, std::vector<Diagnostic>& diagnostics);
 
-// Conditions that use conditions: so deep at most.
-inline constexpr int kMostConditionDepth = 32;
+// Maximum depth of conditions that use other conditions.
+inline constexpr int kMaxConditionDepth = 32;
 
 }  // namespace heronway::match
 
--- a/src/match/source.h
+++ b/src/match/source.h
@@ -1,4 +1,4 @@
-// A rule file's text and the faults found in it, each with its place.
+// Source ranges of a rule file and the diagnostics for them.
 #ifndef HERONWAY_MATCH_SOURCE_H_
 #define HERONWAY_MATCH_SOURCE_H_
 
@@ -10,23 +10,23 @@
 
 namespace heronway::match {
 
-struct Place {
+struct SourceRange {
   std::size_t begin = 0, end = 0;  // bytes of the file
 };
 
-struct Fault {
-  Place at;
-  std::string what;
+struct Diagnostic {
+  SourceRange range;
+  std::string message;
 };
 
-// Several faults of one file; what() is the text for people: file:line:column, the line, a caret.
+// Several diagnostics of one file; what() renders them: file:line:column, the line, a caret.
 class RuleError : public std::runtime_error {
  public:
-  RuleError(const std::string& file, std::string_view text, std::vector<Fault> faults);
-  const std::vector<Fault>& faults() const { return faults_; }
+  RuleError(const std::string& file, std::string_view text, std::vector<Diagnostic> diagnostics);
+  const std::vector<Diagnostic>& diagnostics() const { return diagnostics_; }
 
  private:
-  std::vector<Fault> faults_;
+  std::vector<Diagnostic> diagnostics_;
 };
 
 struct LineColumn {
@@ -34,8 +34,8 @@
 };
 LineColumn Locate(std::string_view text, std::size_t at);
 
-inline constexpr std::size_t kMostFaults = 20;  // told of one file
-inline constexpr std::size_t kMostFile = 16 * 1024 * 1024;
+inline constexpr std::size_t kMaxReportedFaults = 20;  // per file
+inline constexpr std::size_t kMaxFileBytes = 16 * 1024 * 1024;
 
 }  // namespace heronway::match
 
--- a/tests/cluster/copies_test.cpp
+++ b/tests/cluster/copies_test.cpp
@@ -1,11 +1,10 @@
-// Copies without processes: frames, the file that keeps them, batches that are proposed twice, and a store
-// that is behind its log.
-#include "src/cluster/copies/copies.h"
-
+// Replication without processes: frames, the replica store, batches that are proposed twice, and a store that
+// is behind its log.
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
+#include "src/cluster/copies/replica_manager.h"
 #include "src/durable/codec.h"
 
 namespace heronway::cluster::copies {
@@ -20,34 +19,34 @@
   std::string path;
 };
 
-log::EntryPtr EntryOf(log::Term term, std::string data) {
+log::EntryPtr MakeEntry(log::Term term, std::string data) {
   auto e = std::make_shared<log::Entry>();
   e->term = term;
   e->data = std::move(data);
   return e;
 }
 
-void Wait(Disk& disk, std::size_t done) {
-  std::size_t got = 0;
-  for (int n = 0; n < 500 && got < done; ++n) {
-    got += disk.TakeDone().size();
+void WaitForCompletions(ReplicaStore& store, std::size_t expected) {
+  std::size_t completed = 0;
+  for (int n = 0; n < 500 && completed < expected; ++n) {
+    completed += store.TakeCompletions().size();
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  ASSERT_EQ(got, done);
+  ASSERT_EQ(completed, expected);
 }
 
-TEST(Frames, ComeBackWholeAndCutOnesAreNothing) {
+TEST(Frames, RoundTripAndTruncatedFramesAreRejected) {
   Frame f;
-  f.kind = Frame::Kind::kNames;
+  f.kind = Frame::Kind::kServers;
   f.fleet = "f";
   f.from = "s1";
   f.to = "s2";
-  f.at = "10.0.0.4:7947";
+  f.detail = "10.0.0.4:7947";
   f.group = "s1/http/17";
   f.message = std::string("a\0b", 3);
   f.server = 5;
   f.servers = {{5, {"s1", "10.0.0.4:7947"}}, {6, {"s2", ""}}};
-  const std::string bytes = Encode(f).substr(kHeadBytes);
+  const std::string bytes = Encode(f).substr(kHeaderBytes);
   const auto back = Decode(bytes);
   ASSERT_TRUE(back.has_value());
   EXPECT_EQ(back->group, f.group);
@@ -55,10 +54,10 @@
   EXPECT_EQ(back->servers, f.servers);
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(Decode(bytes.substr(0, n)).has_value()) << n;
   f.group = "s1/../17 \n";
-  EXPECT_FALSE(Decode(Encode(f).substr(kHeadBytes)).has_value()) << "a blank and a line's end";
+  EXPECT_FALSE(Decode(Encode(f).substr(kHeaderBytes)).has_value()) << "a space and a line end";
 }
 
-TEST(Groups, NamesHaveTheirParts) {
+TEST(Groups, NamesSplitIntoTheirParts) {
   const std::string name = GroupName("s1", "faktory", 17);
   EXPECT_EQ(OwnerOf(name), "s1");
   EXPECT_EQ(FrontOf(name), "faktory");
@@ -66,33 +65,36 @@
   EXPECT_EQ(OwnerOf("a/b"), "");
 }
 
-TEST(Disk, KeepsVotesEntriesSnapshotsAndNames) {
+TEST(ReplicaStore, KeepsVotesEntriesSnapshotsAndServers) {
   Folder folder;
   {
-    Disk disk(folder.path, [] {});
-    EXPECT_TRUE(disk.Read().empty());
-    GroupOnDisk g;
+    ReplicaStore store(folder.path, [] {});
+    EXPECT_TRUE(store.Read().empty());
+    StoredGroup g;
     g.group = "s1/http/1";
     g.self = 77;
-    disk.Hand(g.group, g);
-    disk.Hand("s2/http/1", GroupOnDisk{"s2/http/1", 78, {}, {}});
-    log::Persist p{
-        1, log::Vote{3, 9}, nullptr, 1, {EntryOf(1, "one"), EntryOf(1, "two"), EntryOf(2, "three")}};
-    disk.Hand(g.group, p);
-    p = {2, std::nullopt, nullptr, 3, {EntryOf(3, "other")}};
-    disk.Hand(g.group, p);
+    store.Enqueue(g.group, g);
+    store.Enqueue("s2/http/1", StoredGroup{"s2/http/1", 78, {}, {}});
+    log::Persist p{1,
+                   log::HardState{3, 9},
+                   nullptr,
+                   1,
+                   {MakeEntry(1, "one"), MakeEntry(1, "two"), MakeEntry(2, "three")}};
+    store.Enqueue(g.group, p);
+    p = {2, std::nullopt, nullptr, 3, {MakeEntry(3, "other")}};
+    store.Enqueue(g.group, p);
     auto snapshot = std::make_shared<log::Snapshot>(log::Snapshot{1, 1, {{77}, {}}, "state"});
-    disk.Hand(g.group, log::Persist{3, std::nullopt, snapshot, 0, {}});
-    disk.Hand(g.group, Servers{{77, {"s1", "10.0.0.1:1"}}});
-    disk.Hand("s2/http/1", Disk::Drop{});
-    Wait(disk, 5);
-    EXPECT_THROW(Disk(folder.path, [] {}), durable::StoreError) << "another serves from it";
+    store.Enqueue(g.group, log::Persist{3, std::nullopt, snapshot, 0, {}});
+    store.Enqueue(g.group, Servers{{77, {"s1", "10.0.0.1:1"}}});
+    store.Enqueue("s2/http/1", ReplicaStore::Drop{});
+    WaitForCompletions(store, 5);
+    EXPECT_THROW(ReplicaStore(folder.path, [] {}), durable::StoreError) << "the store is in use";
   }
-  Disk disk(folder.path, [] {});
-  const auto all = disk.Read();
+  ReplicaStore store(folder.path, [] {});
+  const auto all = store.Read();
   ASSERT_EQ(all.size(), 1u);
   EXPECT_EQ(all[0].self, 77u);
-  EXPECT_EQ(all[0].log.vote, (log::Vote{3, 9}));
+  EXPECT_EQ(all[0].log.hard_state, (log::HardState{3, 9}));
   EXPECT_EQ(all[0].log.snapshot->data, "state");
   ASSERT_EQ(all[0].log.entries.size(), 2u);
   EXPECT_EQ(all[0].log.entries[0]->data, "two");
@@ -100,16 +102,17 @@
   EXPECT_EQ(all[0].servers.at(77).first, "s1");
 }
 
-// A bit that turned, anywhere in an entry, is found and named; nothing is read past it.
-TEST(Disk, DamageIsNamed) {
+// After a changed byte in an entry, reading stops with an error that names the entry.
+TEST(ReplicaStore, CorruptEntryIsNamed) {
   Folder folder;
   {
-    Disk disk(folder.path, [] {});
-    disk.Hand("s1/http/1", GroupOnDisk{"s1/http/1", 77, {}, {}});
-    disk.Hand("s1/http/1", log::Persist{1, std::nullopt, nullptr, 1, {EntryOf(1, std::string(9'000, 'q'))}});
-    Wait(disk, 2);
+    ReplicaStore store(folder.path, [] {});
+    store.Enqueue("s1/http/1", StoredGroup{"s1/http/1", 77, {}, {}});
+    store.Enqueue("s1/http/1",
+                  log::Persist{1, std::nullopt, nullptr, 1, {MakeEntry(1, std::string(9'000, 'q'))}});
+    WaitForCompletions(store, 2);
   }
-  const std::string file = Disk::FileOf(folder.path);
+  const std::string file = ReplicaStore::FilePath(folder.path);
   std::FILE* f = std::fopen(file.c_str(), "r+b");
   ASSERT_NE(f, nullptr);
   std::string bytes(std::filesystem::file_size(file), '\0');
@@ -119,9 +122,9 @@
   std::fseek(f, static_cast<long>(at), SEEK_SET);
   std::fputc('r', f);
   std::fclose(f);
-  Disk disk(folder.path, [] {});
+  ReplicaStore store(folder.path, [] {});
   try {
-    disk.Read();
+    store.Read();
     FAIL();
   } catch (const durable::StoreError& e) {
     EXPECT_NE(std::string(e.what()).find("s1/http/1: entry 1"), std::string::npos) << e.what();
@@ -130,145 +133,148 @@
 }
 
 std::vector<durable::ClassRules> Rules() { return std::vector<durable::ClassRules>(1); }
-durable::Record Taken(const std::string& id) {
+durable::Record Accepted(const std::string& id) {
   durable::Record r;
-  r.kind = durable::Kind::kTaken;
+  r.kind = durable::RecordKind::kAccepted;
   r.id = id;
   r.at = 1;
   r.text = "text of " + id;
   return r;
 }
-std::size_t Jobs(durable::SqliteStore& store) { return DumpOf(store).jobs.size(); }
+std::size_t CountJobs(durable::SqliteStore& store) { return ReadContents(store).jobs.size(); }
 
-TEST(CopiedStore, ABatchThatWasProposedTwiceCountsOnce) {
+TEST(ReplicatedStore, BatchProposedTwiceIsAppliedOnce) {
   Folder folder;
-  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
+  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Mode::kServe);
   durable::Applied applied = store.applied();
   EXPECT_EQ(applied.index, 0u);
-  const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
-    return OwnGroup::Committed{index, Encode(Batch{life, number, durable::Encode({Taken(id)})})};
+  const auto entry = [](log::Index index, std::uint64_t epoch, std::uint64_t number, const std::string& id) {
+    return LogChannel::Committed{index, Encode(Batch{epoch, number, durable::Encode({Accepted(id)})})};
   };
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(2, 9, 1, "a")));
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "the same entry";
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(3, 9, 1, "a"))) << "the same batch";
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(4, 9, 2, "b")));
-  durable::Applied again = store.applied();
-  EXPECT_EQ(again.index, 4u);
-  EXPECT_FALSE(CopiedStore::Apply(store, again, entry(5, 9, 2, "b"))) << "also after a restart";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(6, 10, 1, "c"))) << "another life counts anew";
-  EXPECT_EQ(Jobs(store), 3u);
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a")));
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "the same entry";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(3, 9, 1, "a"))) << "the same batch";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(4, 9, 2, "b")));
+  durable::Applied stored_position = store.applied();
+  EXPECT_EQ(stored_position.index, 4u);
+  EXPECT_FALSE(ReplicatedStore::Apply(store, stored_position, entry(5, 9, 2, "b"))) << "also after a restart";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, stored_position, entry(6, 10, 1, "c")))
+      << "a new epoch counts from 1";
+  EXPECT_EQ(CountJobs(store), 3u);
 }
 
-// What a process proposed that held the group once and does not know that it holds it no more.
-TEST(CopiedStore, OnlyTheBatchesOfWhoeverHoldsTheGroupCount) {
+// Guards against late proposals of a process that does not know that another process has claimed the group.
+TEST(ReplicatedStore, OnlyBatchesOfTheCurrentEpochCount) {
   Folder folder;
-  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Use::kServe);
+  durable::SqliteStore store({folder.path + "/a.db", {"c"}, Rules(), 0}, durable::SqliteStore::Mode::kServe);
   durable::Applied applied = store.applied();
-  const auto entry = [](log::Index index, std::uint64_t life, std::uint64_t number, const std::string& id) {
+  const auto entry = [](log::Index index, std::uint64_t epoch, std::uint64_t number, const std::string& id) {
     const std::vector<durable::Record> records =
-        number == 0 ? std::vector<durable::Record>{} : std::vector<durable::Record>{Taken(id)};
-    return OwnGroup::Committed{index, Encode(Batch{kFenced | life, number, durable::Encode(records)})};
+        number == 0 ? std::vector<durable::Record>{} : std::vector<durable::Record>{Accepted(id)};
+    return LogChannel::Committed{index,
+                                 Encode(Batch{kFencedEpoch | epoch, number, durable::Encode(records)})};
   };
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "it has not taken hold";
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(3, 9, 0, "")));
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(4, 9, 1, "a")));
-  EXPECT_TRUE(CopiedStore::Apply(store, applied, entry(5, 10, 0, ""))) << "another takes hold";
-  EXPECT_FALSE(CopiedStore::Apply(store, applied, entry(6, 9, 2, "b"))) << "late";
-  durable::Applied again = store.applied();
-  EXPECT_FALSE(CopiedStore::Apply(store, again, entry(6, 9, 2, "b"))) << "also after a restart";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(7, 10, 1, "c")));
-  EXPECT_FALSE(CopiedStore::Apply(store, again, entry(8, 10, 1, "c"))) << "twice";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(9, 9, 0, ""))) << "and back";
-  EXPECT_TRUE(CopiedStore::Apply(store, again, entry(10, 9, 1, "d")));
-  EXPECT_EQ(Jobs(store), 3u);
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(2, 9, 1, "a"))) << "it has not claimed the group";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(3, 9, 0, "")));
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(4, 9, 1, "a")));
+  EXPECT_TRUE(ReplicatedStore::Apply(store, applied, entry(5, 10, 0, ""))) << "another claims the group";
+  EXPECT_FALSE(ReplicatedStore::Apply(store, applied, entry(6, 9, 2, "b"))) << "late";
+  durable::Applied stored_position = store.applied();
+  EXPECT_FALSE(ReplicatedStore::Apply(store, stored_position, entry(6, 9, 2, "b"))) << "also after a restart";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, stored_position, entry(7, 10, 1, "c")));
+  EXPECT_FALSE(ReplicatedStore::Apply(store, stored_position, entry(8, 10, 1, "c"))) << "twice";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, stored_position, entry(9, 9, 0, "")))
+      << "the first claims it again";
+  EXPECT_TRUE(ReplicatedStore::Apply(store, stored_position, entry(10, 9, 1, "d")));
+  EXPECT_EQ(CountJobs(store), 3u);
 }
 
-// A writer that finds in the log that another holds the group stores nothing more, whatever it is asked, and
-// leaves its store where it stands.
-TEST(CopiedStore, AWriterStopsWhereAnotherTakesHold) {
+// A writer that finds another process's claim in the log stores nothing more and leaves its store at its
+// position.
+TEST(ReplicatedStore, WriterStopsAtAnotherClaim) {
   Folder folder;
-  auto group = std::make_shared<OwnGroup>([] {});
+  auto channel = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-      durable::SqliteStore::Use::kServe);
-  durable::SqliteStore* look = inner.get();
-  CopiedStore store(std::move(inner), group, kFenced | 7);
-  group->Deliver(5, Encode(Batch{kFenced | 8, 0, durable::Encode(std::vector<durable::Record>{})}));
-  group->Deliver(6, Encode(Batch{kFenced | 7, 1, durable::Encode({Taken("a")})}));
-  EXPECT_THROW(store.Append({Taken("a")}), durable::StoreError);
-  EXPECT_THROW(store.Append({Taken("a")}), durable::StoreError);
-  EXPECT_EQ(Jobs(*look), 0u);
-  EXPECT_EQ(look->applied().index, 0u);
+      durable::SqliteStore::Mode::kServe);
+  durable::SqliteStore* inner_store = inner.get();
+  ReplicatedStore store(std::move(inner), channel, kFencedEpoch | 7);
+  channel->Deliver(5, Encode(Batch{kFencedEpoch | 8, 0, durable::Encode(std::vector<durable::Record>{})}));
+  channel->Deliver(6, Encode(Batch{kFencedEpoch | 7, 1, durable::Encode({Accepted("a")})}));
+  EXPECT_THROW(store.Append({Accepted("a")}), durable::StoreError);
+  EXPECT_THROW(store.Append({Accepted("a")}), durable::StoreError);
+  EXPECT_EQ(CountJobs(*inner_store), 0u);
+  EXPECT_EQ(inner_store->applied().index, 0u);
 }
 
-// The writer's side: what is refused is asked for again, with the same numbers; what is committed late
-// counts.
-TEST(CopiedStore, AnAppendThatFailsIsTheSameAppendAgain) {
+// A rejected batch is proposed again with the same numbers, and a late commit of the first proposal counts.
+TEST(ReplicatedStore, FailedAppendIsRetriedWithTheSameNumbers) {
   Folder folder;
-  auto group = std::make_shared<OwnGroup>([] {});
+  auto channel = std::make_shared<LogChannel>([] {});
   auto inner = std::make_unique<durable::SqliteStore>(
       durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-      durable::SqliteStore::Use::kServe);
-  durable::SqliteStore* look = inner.get();
-  CopiedStore store(std::move(inner), group, 7);
-  group->Refuse("nobody leads");
-  std::vector<durable::Record> records = {Taken("a"), Taken("b")};
+      durable::SqliteStore::Mode::kServe);
+  durable::SqliteStore* inner_store = inner.get();
+  ReplicatedStore store(std::move(inner), channel, 7);
+  channel->Reject("no leader");
+  std::vector<durable::Record> records = {Accepted("a"), Accepted("b")};
   std::thread late([&] {
-    while (group->TakeAsked().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    group->Refuse("not led here");
+    while (channel->TakeProposals().empty()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    channel->Reject("not the leader");
   });
   EXPECT_THROW(store.Append(records), durable::StoreError);
   late.join();
   std::thread other([&] {
-    std::vector<std::string> asked;
-    while ((asked = group->TakeAsked()).empty()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    std::vector<std::string> proposals;
+    while ((proposals = channel->TakeProposals()).empty())
+      std::this_thread::sleep_for(std::chrono::milliseconds(1));
     log::Index index = 5;
-    for (const std::string& data : asked) group->Deliver(index++, data);  // of the first time
-    for (const std::string& data : asked) group->Deliver(index++, data);  // and of this
+    for (const std::string& data : proposals) channel->Deliver(index++, data);  // of the first proposal
+    for (const std::string& data : proposals) channel->Deliver(index++, data);  // and of the second
   });
   store.Append(records);
   other.join();
-  EXPECT_EQ(Jobs(*look), 2u);
+  EXPECT_EQ(CountJobs(*inner_store), 2u);
 }
 
-TEST(CopiedStore, ALargeBatchGoesInParts) {
+TEST(ReplicatedStore, LargeBatchIsSplit) {
   Folder folder;
-  auto group = std::make_shared<OwnGroup>([] {});
-  CopiedStore store(std::make_unique<durable::SqliteStore>(
-                        durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
-                        durable::SqliteStore::Use::kServe),
-                    group, 7);
+  auto channel = std::make_shared<LogChannel>([] {});
+  ReplicatedStore store(std::make_unique<durable::SqliteStore>(
+                            durable::SqliteStore::Settings{folder.path + "/a.db", {"c"}, Rules(), 0},
+                            durable::SqliteStore::Mode::kServe),
+                        channel, 7);
   std::vector<durable::Record> records;
   for (int n = 0; n < 20; ++n) {
-    records.push_back(Taken("j" + std::to_string(n)));
+    records.push_back(Accepted("j" + std::to_string(n)));
     records.back().text = std::string(60'000, 'x');
   }
   std::size_t parts = 0, largest = 0;
   std::thread loop([&] {
     log::Index index = 2;
     for (bool any = false; !any;) {
-      for (const std::string& data : group->TakeAsked()) {
+      for (const std::string& data : channel->TakeProposals()) {
         any = true;
         ++parts;
         largest = std::max(largest, data.size());
-        group->Deliver(index++, data);
+        channel->Deliver(index++, data);
       }
     }
   });
   store.Append(records);
   loop.join();
   EXPECT_GE(parts, 5u);
-  EXPECT_LT(largest, kMostFrame / 2);
+  EXPECT_LT(largest, kMaxFrameBytes / 2);
 }
 
-// A member by itself: it leads its group at once, finds it again, and begins another where its store was
-// written without the log in between.
-TEST(Copies, AStoreThatLeftItsLogBeginsAnotherGroup) {
+// A single member leads its group at once and finds it again after a restart. If its store was written
+// without the log in between, the member creates another group.
+TEST(ReplicaManager, StoreWrittenWithoutItsLogGetsANewGroup) {
   Folder folder;
   net::BufferPool pool(256);
   net::Loop loop;
-  net::Shared shared{loop, pool, false};
-  Copies::Settings settings;
+  net::StreamContext shared{loop, pool, false};
+  ReplicaManager::Settings settings;
   settings.fleet = "f";
   settings.name = "s1";
   settings.listen = *net::ParseAddress("127.0.0.1:0");
@@ -276,26 +282,26 @@
   const auto open = [&] {
     return std::make_unique<durable::SqliteStore>(
         durable::SqliteStore::Settings{folder.path + "/http.db", {"c"}, Rules(), 0},
-        durable::SqliteStore::Use::kServe);
+        durable::SqliteStore::Mode::kServe);
   };
   const auto groups = [&] {
-    Copies copies(shared, settings);
-    const auto store = copies.Lead("http", open());
-    const std::string body = copies.Body();
+    ReplicaManager manager(shared, settings);
+    const auto store = manager.OpenReplicatedStore("http", open());
+    const std::string body = manager.StatusJson();
     std::size_t n = 0;
     for (auto at = body.find("\"group\":"); at != body.npos; at = body.find("\"group\":", at + 1)) ++n;
     EXPECT_NE(body.find("\"role\":\"leader\""), body.npos);
     return n;
   };
-  open()->Append({Taken("before")});
+  open()->Append({Accepted("before")});
   EXPECT_EQ(groups(), 1u);
-  EXPECT_EQ(groups(), 1u) << "the same again";
+  EXPECT_EQ(groups(), 1u) << "the same group again";
   {
     const auto store = open();
-    EXPECT_EQ(Jobs(*store), 1u) << "what it held is the group's beginning";
-    store->LeaveLog();
+    EXPECT_EQ(CountJobs(*store), 1u) << "its contents are the first snapshot";
+    store->ClearApplied();
   }
-  EXPECT_EQ(groups(), 2u) << "and the old one stays for whoever needs it";
+  EXPECT_EQ(groups(), 2u) << "the former group is kept";
 }
 
 }  // namespace
--- a/tests/cluster/log_rules_test.cpp
+++ b/tests/cluster/log_rules_test.cpp
@@ -1,5 +1,5 @@
-// The replicated log's rules one by one, on one server whose messages and disk are played by hand: what
-// longer schedules reach too seldom to show.
+// The rules of the replicated log one at a time, on a single server. The tests send the messages and complete
+// the writes themselves, to reach cases that random schedules reach too rarely.
 #include <gtest/gtest.h>
 
 #include "src/cluster/log/log.h"
@@ -9,32 +9,35 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-EntryPtr Of(Term term, EntryKind kind = EntryKind::kData, Members members = {}) {
+EntryPtr MakeEntry(Term term, EntryKind kind = EntryKind::kData, Configuration configuration = {}) {
   auto e = std::make_shared<Entry>();
   e->term = term;
   e->kind = kind;
-  e->members = std::move(members);
+  e->configuration = std::move(configuration);
   e->data = "d";
   return e;
 }
 
-// Server 1 of 1, 2 and 3.
-class One {
+// Server 1, by default in a group with servers 2 and 3.
+class SingleServer {
  public:
-  explicit One(std::vector<ServerId> voters = {1, 2, 3}, std::vector<EntryPtr> entries = {}, Vote vote = {}) {
-    auto beginning = std::make_shared<Snapshot>();
-    beginning->members.voters = std::move(voters);
-    log = std::make_unique<Log>(Settings{}, 1, OnDisk{vote, beginning, std::move(entries)}, 5, now);
+  explicit SingleServer(std::vector<ServerId> voters = {1, 2, 3}, std::vector<EntryPtr> entries = {},
+                        HardState hard_state = {}) {
+    auto initial = std::make_shared<Snapshot>();
+    initial->configuration.voters = std::move(voters);
+    log = std::make_unique<Log>(Settings{}, 1, PersistentState{hard_state, initial, std::move(entries)}, 5,
+                                now);
   }
-  void Do(Event event) {
+  void Handle(Event event) {
     effects.clear();
     log->Handle(now, std::move(event), effects);
     for (const Effect& e : effects) {
-      if (const auto* p = std::get_if<Persist>(&e)) last_write = p->number;
+      if (const auto* p = std::get_if<Persist>(&e)) last_persist = p->number;
     }
   }
-  void Sync() { Do(Persisted{last_write}); }
-  void Get(MessageKind kind, ServerId from, Term term, Index index = 0, Term log_term = 0, bool yes = false) {
+  void Sync() { Handle(Persisted{last_persist}); }
+  void Receive(MessageKind kind, ServerId from, Term term, Index index = 0, Term log_term = 0,
+               bool accepted = false) {
     Message m;
     m.kind = kind;
     m.from = from;
@@ -42,28 +45,28 @@
     m.term = term;
     m.index = index;
     m.log_term = log_term;
-    m.yes = yes;
-    Do(Received{m});
+    m.accepted = accepted;
+    Handle(Received{m});
   }
   void Append(ServerId from, Term term, Index after, Term after_term, std::vector<EntryPtr> entries,
-              Index commit = 0) {
+              Index leader_commit = 0) {
     Message m;
-    m.kind = MessageKind::kAppend;
+    m.kind = MessageKind::kAppendEntries;
     m.from = from;
     m.to = 1;
     m.term = term;
     m.index = after;
     m.log_term = after_term;
-    m.commit = commit;
+    m.leader_commit = leader_commit;
     m.entries = std::move(entries);
-    Do(Received{m});
+    Handle(Received{m});
   }
   void Lead() {
     now += 3 * kSecond;
-    Do(Tick{});
-    Get(MessageKind::kPreVoteReply, 2, log->term() + 1, 0, 0, true);
+    Handle(Tick{});
+    Receive(MessageKind::kPreVoteReply, 2, log->term() + 1, 0, 0, true);
     Sync();
-    Get(MessageKind::kVoteReply, 2, log->term(), 0, 0, true);
+    Receive(MessageKind::kRequestVoteReply, 2, log->term(), 0, 0, true);
     ASSERT_EQ(log->role(), Role::kLeader);
   }
   std::vector<Message> Sent(MessageKind kind) const {
@@ -77,118 +80,119 @@
   Micros now = 100 * kSecond;
   std::unique_ptr<Log> log;
   std::vector<Effect> effects;
-  std::uint64_t last_write = 0;
+  std::uint64_t last_persist = 0;
 };
 
-TEST(LogRules, ALeaderThatIsHeardIsKept) {
-  One one;
-  one.Append(2, 1, 0, 0, {});
-  one.Sync();
-  one.Get(MessageKind::kPreVote, 3, 2, 9, 9);
-  EXPECT_TRUE(one.Sent(MessageKind::kPreVoteReply).empty());
-  one.Get(MessageKind::kVote, 3, 2, 9, 9);
-  EXPECT_EQ(one.log->term(), 1u);
-  one.now += kSecond;  // it is silent now
-  one.Get(MessageKind::kPreVote, 3, 2, 9, 9);
-  ASSERT_EQ(one.Sent(MessageKind::kPreVoteReply).size(), 1u);
-  EXPECT_TRUE(one.Sent(MessageKind::kPreVoteReply)[0].yes);
-  EXPECT_EQ(one.log->term(), 1u) << "a pre-vote raises no term";
+TEST(LogRules, NoVotesWhileTheLeaderIsActive) {
+  SingleServer server;
+  server.Append(2, 1, 0, 0, {});
+  server.Sync();
+  server.Receive(MessageKind::kPreVote, 3, 2, 9, 9);
+  EXPECT_TRUE(server.Sent(MessageKind::kPreVoteReply).empty());
+  server.Receive(MessageKind::kRequestVote, 3, 2, 9, 9);
+  EXPECT_EQ(server.log->term(), 1u);
+  server.now += kSecond;  // the leader has been silent for an election timeout
+  server.Receive(MessageKind::kPreVote, 3, 2, 9, 9);
+  ASSERT_EQ(server.Sent(MessageKind::kPreVoteReply).size(), 1u);
+  EXPECT_TRUE(server.Sent(MessageKind::kPreVoteReply)[0].accepted);
+  EXPECT_EQ(server.log->term(), 1u) << "a pre-vote does not raise the term";
 }
 
-TEST(LogRules, NoVoteForOneThatLacksEntries) {
-  One one({1, 2, 3}, {Of(1), Of(1)}, Vote{1, 0});
-  one.Get(MessageKind::kVote, 2, 2, 1, 1);
-  one.Sync();
-  ASSERT_EQ(one.Sent(MessageKind::kVoteReply).size(), 1u);
-  EXPECT_FALSE(one.Sent(MessageKind::kVoteReply)[0].yes);
-  one.Get(MessageKind::kVote, 3, 2, 2, 1);
-  one.Sync();
-  ASSERT_EQ(one.Sent(MessageKind::kVoteReply).size(), 1u);
-  EXPECT_TRUE(one.Sent(MessageKind::kVoteReply)[0].yes);
+TEST(LogRules, NoVoteForACandidateThatLacksEntries) {
+  SingleServer server({1, 2, 3}, {MakeEntry(1), MakeEntry(1)}, HardState{1, 0});
+  server.Receive(MessageKind::kRequestVote, 2, 2, 1, 1);
+  server.Sync();
+  ASSERT_EQ(server.Sent(MessageKind::kRequestVoteReply).size(), 1u);
+  EXPECT_FALSE(server.Sent(MessageKind::kRequestVoteReply)[0].accepted);
+  server.Receive(MessageKind::kRequestVote, 3, 2, 2, 1);
+  server.Sync();
+  ASSERT_EQ(server.Sent(MessageKind::kRequestVoteReply).size(), 1u);
+  EXPECT_TRUE(server.Sent(MessageKind::kRequestVoteReply)[0].accepted);
 }
 
-TEST(LogRules, NothingOfATermIsToldBeforeItIsOnDisk) {
-  One one;
-  one.Get(MessageKind::kVote, 2, 5);
-  EXPECT_TRUE(one.Sent(MessageKind::kVoteReply).empty());
-  one.Sync();
-  EXPECT_EQ(one.Sent(MessageKind::kVoteReply).size(), 1u);
-  One alone({1});
-  alone.now += 3 * kSecond;
-  alone.Do(Tick{});
-  EXPECT_NE(alone.log->role(), Role::kLeader) << "its own vote is not on disk";
-  alone.Sync();
-  EXPECT_EQ(alone.log->role(), Role::kLeader);
+TEST(LogRules, RepliesWaitUntilTheTermIsDurable) {
+  SingleServer server;
+  server.Receive(MessageKind::kRequestVote, 2, 5);
+  EXPECT_TRUE(server.Sent(MessageKind::kRequestVoteReply).empty());
+  server.Sync();
+  EXPECT_EQ(server.Sent(MessageKind::kRequestVoteReply).size(), 1u);
+  SingleServer only_voter({1});
+  only_voter.now += 3 * kSecond;
+  only_voter.Handle(Tick{});
+  EXPECT_NE(only_voter.log->role(), Role::kLeader) << "its own vote is not durable yet";
+  only_voter.Sync();
+  EXPECT_EQ(only_voter.log->role(), Role::kLeader);
 }
 
-// What replaces entries that were on disk is not on disk: an answer must not count the old ones.
-TEST(LogRules, AnAnswerTellsWhatIsOnDiskOfThisLeader) {
-  One one({1, 2, 3}, {Of(1), Of(1), Of(1)}, Vote{1, 0});
-  one.Append(2, 2, 0, 0, {});
-  one.Sync();  // the term is on disk: answers leave at once
-  one.Append(2, 2, 1, 1, {Of(2), Of(2)});
-  ASSERT_EQ(one.Sent(MessageKind::kAppendReply).size(), 1u);
-  EXPECT_EQ(one.Sent(MessageKind::kAppendReply)[0].index, 1u);
-  one.Append(2, 2, 3, 2, {});
-  for (const Message& m : one.Sent(MessageKind::kAppendReply)) EXPECT_LE(m.index, 1u);
-  one.Sync();
-  const auto replies = one.Sent(MessageKind::kAppendReply);
+// Entries that replace durable ones are not durable themselves: a reply must not count the old entries.
+TEST(LogRules, RepliesCountOnlyDurableEntriesOfTheCurrentLeader) {
+  SingleServer server({1, 2, 3}, {MakeEntry(1), MakeEntry(1), MakeEntry(1)}, HardState{1, 0});
+  server.Append(2, 2, 0, 0, {});
+  server.Sync();  // the term is durable, so replies are sent at once
+  server.Append(2, 2, 1, 1, {MakeEntry(2), MakeEntry(2)});
+  ASSERT_EQ(server.Sent(MessageKind::kAppendEntriesReply).size(), 1u);
+  EXPECT_EQ(server.Sent(MessageKind::kAppendEntriesReply)[0].index, 1u);
+  server.Append(2, 2, 3, 2, {});
+  for (const Message& m : server.Sent(MessageKind::kAppendEntriesReply)) EXPECT_LE(m.index, 1u);
+  server.Sync();
+  const auto replies = server.Sent(MessageKind::kAppendEntriesReply);
   ASSERT_FALSE(replies.empty());
   EXPECT_EQ(replies.back().index, 3u);
 }
 
-TEST(LogRules, MembersThatAreTakenBackAreNotInForce) {
-  One one({1, 2, 3}, {Of(1), Of(1, EntryKind::kMembers, {{1, 2, 3, 4}, {}})}, Vote{1, 0});
-  EXPECT_EQ(one.log->members().voters.size(), 4u) << "in force as soon as it is in the log";
-  one.Append(2, 2, 1, 1, {Of(2)});
-  EXPECT_EQ(one.log->members().voters.size(), 3u);
+TEST(LogRules, ATruncatedConfigurationIsReverted) {
+  SingleServer server({1, 2, 3}, {MakeEntry(1), MakeEntry(1, EntryKind::kConfiguration, {{1, 2, 3, 4}, {}})},
+                      HardState{1, 0});
+  EXPECT_EQ(server.log->configuration().voters.size(), 4u) << "takes effect as soon as it is in the log";
+  server.Append(2, 2, 1, 1, {MakeEntry(2)});
+  EXPECT_EQ(server.log->configuration().voters.size(), 3u);
 }
 
-// A new leader may not know of the last commit of the one before it.
-TEST(LogRules, NoReadBeforeAnEntryOfItsOwnTermIsCommitted) {
-  One one({1, 2, 3}, {Of(1)}, Vote{1, 0});
-  one.Lead();
-  one.Do(Read{9});
-  const auto refused = [&] {
-    return std::any_of(one.effects.begin(), one.effects.end(),
-                       [](const Effect& e) { return std::holds_alternative<Refused>(e); });
+// A new leader may not know the last entries that the previous leader committed.
+TEST(LogRules, NoReadBeforeAnEntryOfTheOwnTermIsCommitted) {
+  SingleServer server({1, 2, 3}, {MakeEntry(1)}, HardState{1, 0});
+  server.Lead();
+  server.Handle(ReadIndex{9});
+  const auto rejected = [&] {
+    return std::any_of(server.effects.begin(), server.effects.end(),
+                       [](const Effect& e) { return std::holds_alternative<Rejected>(e); });
   };
-  EXPECT_TRUE(refused());
-  one.Sync();
-  one.Get(MessageKind::kAppendReply, 2, one.log->term(), 2, 0, true);
-  ASSERT_EQ(one.log->committed(), 2u);
-  one.Do(Read{10});
-  EXPECT_FALSE(refused());
+  EXPECT_TRUE(rejected());
+  server.Sync();
+  server.Receive(MessageKind::kAppendEntriesReply, 2, server.log->term(), 2, 0, true);
+  ASSERT_EQ(server.log->commit_index(), 2u);
+  server.Handle(ReadIndex{10});
+  EXPECT_FALSE(rejected());
 }
 
-// Figure 3.7 of the dissertation: an entry of an older term is on a majority, and may yet be replaced.
-TEST(LogRules, AnOlderTermsEntryIsCommittedOnlyWithOneOfItsOwn) {
-  One one({1, 2, 3}, {Of(1)}, Vote{1, 0});
-  one.Lead();
-  one.Sync();
-  one.Get(MessageKind::kAppendReply, 2, one.log->term(), 1, 0, true);
-  EXPECT_EQ(one.log->committed(), 0u);
-  one.Get(MessageKind::kAppendReply, 2, one.log->term(), 2, 0, true);
-  EXPECT_EQ(one.log->committed(), 2u);
+// Figure 3.7 of the dissertation: an entry of an older term is on a majority and can still be replaced.
+TEST(LogRules, EntriesOfOlderTermsAreCommittedWithOneOfTheOwnTerm) {
+  SingleServer server({1, 2, 3}, {MakeEntry(1)}, HardState{1, 0});
+  server.Lead();
+  server.Sync();
+  server.Receive(MessageKind::kAppendEntriesReply, 2, server.log->term(), 1, 0, true);
+  EXPECT_EQ(server.log->commit_index(), 0u);
+  server.Receive(MessageKind::kAppendEntriesReply, 2, server.log->term(), 2, 0, true);
+  EXPECT_EQ(server.log->commit_index(), 2u);
 }
 
-// Else both go on for ever: it does not hear of the higher term, and the other is not led by it.
-TEST(LogRules, ALeaderOfAnOlderTermIsToldOfTheNewer) {
-  One one({1, 2, 3}, {}, Vote{7, 0});
-  one.Append(2, 5, 0, 0, {});
-  ASSERT_EQ(one.Sent(MessageKind::kAppendReply).size(), 1u);
-  EXPECT_EQ(one.Sent(MessageKind::kAppendReply)[0].term, 7u);
-  EXPECT_FALSE(one.Sent(MessageKind::kAppendReply)[0].yes);
+// Otherwise the stale leader never learns of the higher term and keeps sending to this server forever.
+TEST(LogRules, AStaleLeaderLearnsTheHigherTerm) {
+  SingleServer server({1, 2, 3}, {}, HardState{7, 0});
+  server.Append(2, 5, 0, 0, {});
+  ASSERT_EQ(server.Sent(MessageKind::kAppendEntriesReply).size(), 1u);
+  EXPECT_EQ(server.Sent(MessageKind::kAppendEntriesReply)[0].term, 7u);
+  EXPECT_FALSE(server.Sent(MessageKind::kAppendEntriesReply)[0].accepted);
 }
 
-TEST(LogRules, LeadershipIsHandedToOneThatHasEverything) {
-  One one;
-  one.Lead();
-  one.Sync();
-  one.Do(Transfer{3});
-  EXPECT_TRUE(one.Sent(MessageKind::kTimeoutNow).empty());
-  one.Get(MessageKind::kAppendReply, 3, one.log->term(), 1, 0, true);
-  EXPECT_EQ(one.Sent(MessageKind::kTimeoutNow).size(), 1u);
+TEST(LogRules, LeadershipIsTransferredOnceTheTargetIsUpToDate) {
+  SingleServer server;
+  server.Lead();
+  server.Sync();
+  server.Handle(TransferLeadership{3});
+  EXPECT_TRUE(server.Sent(MessageKind::kTimeoutNow).empty());
+  server.Receive(MessageKind::kAppendEntriesReply, 3, server.log->term(), 1, 0, true);
+  EXPECT_EQ(server.Sent(MessageKind::kTimeoutNow).size(), 1u);
 }
 
 }  // namespace
--- a/tests/cluster/placement_test.cpp
+++ b/tests/cluster/placement_test.cpp
@@ -1,4 +1,4 @@
-// Who keeps copies: spread, few to each, and moved seldom.
+// Placement of replicas: spread over zones, few for each member, rarely moved.
 #include "src/cluster/copies/placement.h"
 
 #include <gtest/gtest.h>
@@ -18,10 +18,10 @@
   return all;
 }
 
-TEST(Placement, TheOwnerFirstAndNoZoneTwiceWhileThereAreOthers) {
+TEST(Placement, OwnerIsFirstAndZonesAreDistinctWhilePossible) {
   const auto fleet = Fleet(30, 3);
   for (const Candidate& owner : fleet) {
-    const auto at = Place(owner.name, fleet, 3);
+    const auto at = ChooseReplicas(owner.name, fleet, 3);
     ASSERT_EQ(at.size(), 3u);
     EXPECT_EQ(at[0], owner.name);
     std::set<std::string> zones;
@@ -30,15 +30,15 @@
           std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == name; })->zone);
     EXPECT_EQ(zones.size(), 3u);
   }
-  EXPECT_EQ(Place("s0", Fleet(30, 2), 5).size(), 5u) << "two zones for five copies";
-  EXPECT_EQ(Place("s0", Fleet(2, 1), 3).size(), 2u) << "no more than there are";
+  EXPECT_EQ(ChooseReplicas("s0", Fleet(30, 2), 5).size(), 5u) << "five replicas in two zones";
+  EXPECT_EQ(ChooseReplicas("s0", Fleet(2, 1), 3).size(), 2u) << "at most one for each member";
 }
 
-TEST(Placement, AMemberOfThreeHundredKeepsAFew) {
+TEST(Placement, EachOfThreeHundredMembersKeepsAFew) {
   const auto fleet = Fleet(300, 3);
   std::map<std::string, int> kept;
   for (const Candidate& owner : fleet) {
-    for (const std::string& name : Place(owner.name, fleet, 3)) ++kept[name];
+    for (const std::string& name : ChooseReplicas(owner.name, fleet, 3)) ++kept[name];
   }
   for (const auto& [name, n] : kept) {
     EXPECT_GE(n, 1) << name;
@@ -46,13 +46,14 @@
   }
 }
 
-TEST(Placement, OneThatGoesMovesItsOwnCopiesAlone) {
+TEST(Placement, GoneMemberMovesOnlyItsOwnReplicas) {
   const auto fleet = Fleet(100, 4);
-  auto less = fleet;
-  less[17].gone_since = 0;
+  auto with_gone_member = fleet;
+  with_gone_member[17].gone_since = 0;
   for (const Candidate& owner : fleet) {
     if (owner.name == "s17") continue;
-    const auto before = Place(owner.name, fleet, 3), after = Place(owner.name, less, 3);
+    const auto before = ChooseReplicas(owner.name, fleet, 3),
+               after = ChooseReplicas(owner.name, with_gone_member, 3);
     int moved = 0;
     for (const std::string& name : after)
       moved += std::find(before.begin(), before.end(), name) == before.end();
@@ -61,44 +62,44 @@
   }
 }
 
-TEST(Placement, ARestartMovesNothingAndALostMemberIsReplaced) {
+TEST(Placement, RestartMovesNothingAndLostMemberIsReplaced) {
   auto fleet = Fleet(9, 3);
-  const auto held = Place("s0", fleet, 3);
-  const auto next = [&](const std::vector<std::string>& holders, Micros now, bool balance = false) {
-    return NextMove("s0", holders, fleet, 3, now, 10 * kMinute, balance);
+  const auto replicas = ChooseReplicas("s0", fleet, 3);
+  const auto next = [&](const std::vector<std::string>& current, Micros now, bool balance = false) {
+    return NextChange("s0", current, fleet, 3, now, 10 * kMinute, balance);
   };
-  EXPECT_FALSE(next(held, 0).has_value());
-  auto lost = std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == held[1]; });
+  EXPECT_FALSE(next(replicas, 0).has_value());
+  auto lost = std::find_if(fleet.begin(), fleet.end(), [&](const auto& c) { return c.name == replicas[1]; });
   lost->gone_since = 0;
-  EXPECT_FALSE(next(held, 9 * kMinute).has_value()) << "it may be back";
-  const auto move = next(held, 10 * kMinute);
+  EXPECT_FALSE(next(replicas, 9 * kMinute).has_value()) << "it may come back";
+  const auto move = next(replicas, 10 * kMinute);
   ASSERT_TRUE(move.has_value());
-  EXPECT_EQ(move->remove, held[1]);
+  EXPECT_EQ(move->remove, replicas[1]);
   EXPECT_FALSE(move->add.empty());
-  auto more = held;
-  more.push_back(move->add);
-  const auto then = next(more, 11 * kMinute);
+  auto with_replacement = replicas;
+  with_replacement.push_back(move->add);
+  const auto then = next(with_replacement, 11 * kMinute);
   ASSERT_TRUE(then.has_value());
-  EXPECT_EQ(then->remove, held[1]);
-  EXPECT_TRUE(then->add.empty()) << "it was added already";
-  std::erase(more, held[1]);
-  EXPECT_FALSE(next(more, 12 * kMinute).has_value());
-  lost->gone_since = -1;  // back: its old place is better, and not worth a move by itself
-  EXPECT_FALSE(next(more, 13 * kMinute).has_value());
-  const auto better = next(more, 13 * kMinute, true);
+  EXPECT_EQ(then->remove, replicas[1]);
+  EXPECT_TRUE(then->add.empty()) << "its replacement was added already";
+  std::erase(with_replacement, replicas[1]);
+  EXPECT_FALSE(next(with_replacement, 12 * kMinute).has_value());
+  lost->gone_since = -1;  // it is back and preferred, but replaces another only when rebalancing
+  EXPECT_FALSE(next(with_replacement, 13 * kMinute).has_value());
+  const auto better = next(with_replacement, 13 * kMinute, true);
   ASSERT_TRUE(better.has_value());
-  EXPECT_EQ(better->add, held[1]);
-  EXPECT_FALSE(next({held[0], held[1], held[2], "s0"}, 13 * kMinute).has_value() &&
-               next({held[0], held[1], held[2], "s0"}, 13 * kMinute)->remove == "s0")
-      << "never the owner's own";
+  EXPECT_EQ(better->add, replicas[1]);
+  EXPECT_FALSE(next({replicas[0], replicas[1], replicas[2], "s0"}, 13 * kMinute).has_value() &&
+               next({replicas[0], replicas[1], replicas[2], "s0"}, 13 * kMinute)->remove == "s0")
+      << "the owner's own replica is never removed";
 }
 
-TEST(Placement, TooFewAreFilledUp) {
+TEST(Placement, MissingReplicasAreAdded) {
   const auto fleet = Fleet(9, 3);
-  const auto move = NextMove("s0", {"s0"}, fleet, 3, 0, 10 * kMinute, false);
+  const auto move = NextChange("s0", {"s0"}, fleet, 3, 0, 10 * kMinute, false);
   ASSERT_TRUE(move.has_value());
   EXPECT_TRUE(move->remove.empty());
-  EXPECT_EQ(move->add, Place("s0", fleet, 3)[1]);
+  EXPECT_EQ(move->add, ChooseReplicas("s0", fleet, 3)[1]);
 }
 
 }  // namespace
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// Drives one Dispatcher through its public interface.
+// Test harness that drives one Dispatcher through its public interface.
 #ifndef PEBBLENOTCH_TESTS_HARNESS_H_
 #define PEBBLENOTCH_TESTS_HARNESS_H_
 
@@ -13,14 +13,14 @@
 inline constexpr Micros kMs = 1'000;
 inline constexpr Micros kS = 1'000'000;
 
-inline ClassSettings Class(Effect effect, RepeatScope scope = RepeatScope::kAll) {
+inline ClassSettings Class(Idempotency idempotency, DedupScope dedup_scope = DedupScope::kAll) {
   ClassSettings c;
   c.aim = 1 * kS;
-  c.stretch = 2;
+  c.aim_stretch = 2;
   c.deadline = 10 * kS;
-  c.effect = effect;
-  c.scope = scope;
-  c.key_window = 4 * kS;
+  c.idempotency = idempotency;
+  c.dedup_scope = dedup_scope;
+  c.key_ttl = 4 * kS;
   return c;
 }
 
@@ -29,19 +29,19 @@
   s.classes = std::move(classes);
   s.max_attempts = 4;
   s.may_cancel = true;
-  s.second_copies = true;
+  s.concurrent_attempts = true;
   s.reports_in_answers = true;
   return s;
 }
 
 inline WorkerEntry Entry(WorkerId id, int zone = 0, int kind = 0, WorkerState state = WorkerState::kReady,
-                         Micros since = 0) {
+                         Micros started_at = 0) {
   WorkerEntry e;
   e.id = id;
   e.zone = zone;
   e.kind = kind;
   e.state = state;
-  e.since = since;
+  e.started_at = started_at;
   return e;
 }
 
@@ -64,9 +64,9 @@
       : now_(now), dispatcher_(settings, seed, now) {}
 
   Micros now() const { return now_; }
-  void Pass(Micros time) { now_ += time; }
+  void Advance(Micros time) { now_ += time; }
 
-  // Feeds one event; gives back what it brought about, and fires no timers.
+  // Passes one event and returns the resulting actions. Fires no timers.
   std::vector<Action> Feed(const Event& event) {
     std::vector<Action> actions;
     dispatcher_.handle(now_, event, actions);
@@ -75,7 +75,7 @@
     }
     return actions;
   }
-  // Lets time pass, firing the timers that fall due on the way.
+  // Advances the clock and fires the timers that become due.
   std::vector<Action> Run(Micros time) {
     std::vector<Action> all;
     const Micros end = now_ + time;
@@ -97,11 +97,11 @@
   std::vector<Action> List(ListKind kind, const std::vector<WorkerEntry>& workers) {
     return Feed(Membership{kind, workers});
   }
-  std::vector<Action> Ask(RequestId id, int job_class = 0, Micros patience = 10 * kS) {
+  std::vector<Action> Send(RequestId id, int job_class = 0, Micros time_limit = 10 * kS) {
     Request r;
     r.id = id;
     r.job_class = job_class;
-    r.deadline = now_ + patience;
+    r.deadline = now_ + time_limit;
     return Feed(r);
   }
   std::vector<Action> End(RequestId id, int attempt, WorkerId worker, Result result, bool finished = false,
@@ -115,7 +115,7 @@
     o.report = report;
     return Feed(o);
   }
-  std::vector<Action> Probed(WorkerId worker, Report report) {
+  std::vector<Action> ProbeReply(WorkerId worker, Report report) {
     ProbeResult p;
     p.worker = worker;
     p.report = report;
@@ -129,8 +129,9 @@
   std::vector<ArmTimer> armed_;
 };
 
+// The actions of one type, in order.
 template <typename T>
-std::vector<T> Of(const std::vector<Action>& actions) {
+std::vector<T> OfType(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const Action& a : actions) {
     if (const T* one = std::get_if<T>(&a)) found.push_back(*one);
--- a/tests/rig/rig.cpp
+++ b/tests/rig/rig.cpp
@@ -12,28 +12,28 @@
 namespace {
 
 using http::Message;
-using http::ReadState;
+using http::ParseState;
 
 // A served connection: reads requests one after another.
 struct Served : net::Stream::Owner {
-  Served(net::Shared& shared, int fd)
-      : reader(HTTP_REQUEST, http::kMostBody), stream(shared, fd, "rig", *this) {}
+  Served(net::StreamContext& shared, int fd)
+      : reader(HTTP_REQUEST, http::kMaxBodyBytes), stream(shared, fd, "rig", *this) {}
   void OnData(std::string_view bytes) override {
     while (!bytes.empty() && stream.open()) {
       std::size_t used = 0;
-      const ReadState state = reader.Feed(bytes, used);
+      const ParseState state = reader.Feed(bytes, used);
       bytes.remove_prefix(std::min(used, bytes.size()));
-      if (state == ReadState::kMore) return;
-      if (state != ReadState::kWhole) return stream.Close(net::Reason::kBadMessage);
-      OnMessage(reader.TakeWhole());
+      if (state == ParseState::kIncomplete) return;
+      if (state != ParseState::kComplete) return stream.Close(net::Reason::kBadMessage);
+      OnMessage(reader.TakeMessage());
     }
   }
   virtual void OnMessage(Message message) = 0;
   void Answer(unsigned status, std::string_view body,
               std::vector<std::pair<std::string, std::string>> headers = {}) {
-    if (stream.open()) stream.Write(http::WriteAnswer(status, true, headers, body));
+    if (stream.open()) stream.Write(http::FormatResponse(status, true, headers, body));
   }
-  http::Reader reader;
+  http::MessageParser reader;
   net::Stream stream;
 };
 
@@ -44,10 +44,10 @@
 }
 
 template <typename List, typename T>
-void Drop(net::Shared& shared, List& list, T* one) {
+void Drop(net::StreamContext& shared, List& list, T* one) {
   const auto it = std::find_if(list.begin(), list.end(), [one](const auto& p) { return p.get() == one; });
   if (it == list.end()) return;
-  shared.loop.Bury(std::move(*it));
+  shared.loop.DestroyLater(std::move(*it));
   list.erase(it);
 }
 
@@ -166,7 +166,7 @@
     hold.Stop();
     const std::string body = discovery.Answer(since);
     if (failure != Failure::kTorn) return Answer(200, body);
-    const std::string whole = http::WriteAnswer(200, true, {}, body);
+    const std::string whole = http::FormatResponse(200, true, {}, body);
     stream.Write(whole.substr(0, whole.size() - 2));
     End();
   }
@@ -192,7 +192,7 @@
   std::uint64_t since = 0;
 };
 
-Discovery::Discovery(net::Shared& shared, std::uint64_t seed, int callers)
+Discovery::Discovery(net::StreamContext& shared, std::uint64_t seed, int callers)
     : shared_(shared), random_(seed), at_(AnyPort()), doors_(static_cast<std::size_t>(callers)) {
   constexpr int kFirstHost = 100;
   for (std::size_t n = 0; n < doors_.size(); ++n)
@@ -330,17 +330,17 @@
   void Call() {
     if (bodies.empty()) return;
     if (!stream || !stream->open()) {
-      if (stream) worker.shared_.loop.Bury(std::move(stream));
-      reader = std::make_unique<http::Reader>(HTTP_RESPONSE, http::kMostBody);
+      if (stream) worker.shared_.loop.DestroyLater(std::move(stream));
+      reader = std::make_unique<http::MessageParser>(HTTP_RESPONSE, http::kMaxBodyBytes);
       stream = std::make_shared<net::Stream>(worker.shared_, *net::ParseAddress(scheduler), 1'000'000, "news",
                                              *this);
     }
-    stream->Write(http::WriteRequest("POST", "/_jobs/news", {{"Host", "s"}}, bodies.front()));
+    stream->Write(http::FormatRequest("POST", "/_jobs/news", {{"Host", "s"}}, bodies.front()));
   }
   void OnData(std::string_view bytes) override {
     std::size_t used = 0;
-    if (reader->Feed(bytes, used) != ReadState::kWhole) return;
-    if (!reader->TakeWhole().keep_alive) stream->Close(net::Reason::kAnswered);
+    if (reader->Feed(bytes, used) != ParseState::kComplete) return;
+    if (!reader->TakeMessage().keep_alive) stream->Close(net::Reason::kAnswered);
     bodies.pop_front();
     Call();
   }
@@ -351,11 +351,11 @@
   std::string scheduler;
   net::Timer again;
   std::shared_ptr<net::Stream> stream;
-  std::unique_ptr<http::Reader> reader;
+  std::unique_ptr<http::MessageParser> reader;
   std::deque<std::string> bodies;
 };
 
-Worker::Worker(net::Shared& shared, Auditor& audit, const std::string& name, const WorkerPlan& plan,
+Worker::Worker(net::StreamContext& shared, Auditor& audit, const std::string& name, const WorkerPlan& plan,
                std::uint64_t seed)
     : shared_(shared), audit_(audit), name_(name), plan_(plan), random_(seed), at_(AnyPort()) {
   Return();
@@ -389,12 +389,12 @@
   listener_.reset();
   for (const auto& link : links_) {
     link->stream.Close(net::Reason::kShutdown);
-    shared_.loop.Bury(link);
+    shared_.loop.DestroyLater(link);
   }
   links_.clear();
   const auto lose = [this](const std::shared_ptr<Task>& task) {
     task->timer->Stop();
-    shared_.loop.Bury(task);
+    shared_.loop.DestroyLater(task);
     audit_.HopOver(task->id, false);
     News(task->id, "lost", "");
   };
@@ -421,7 +421,7 @@
   const std::string* id = message.Find("Req-Id");
   if (id == nullptr) return link.Answer(404, "");
   // What was given up by the end of its connection before it was looked at here was never begun.
-  if (audit_.late() > 0 && link.stream.PeerGone()) return;
+  if (audit_.late() > 0 && link.stream.PeerClosed()) return;
   ++hops_;
   const Micros now = shared_.loop.Now();
   audit_.HopCame(*id, plan_.zone, name_ + (hangs_ ? ", which hangs" : ""));
@@ -520,7 +520,7 @@
 
 void Worker::Done(const std::shared_ptr<Task>& task) {
   running_.remove(task);
-  shared_.loop.Bury(task);
+  shared_.loop.DestroyLater(task);
   audit_.HopOver(task->id, false);
   if (!queue_.empty()) {
     const auto next = queue_.front();
@@ -555,16 +555,16 @@
 struct Crowd::Link : net::Stream::Owner {
   explicit Link(Crowd& owner)
       : crowd(owner),
-        reader(HTTP_RESPONSE, http::kMostBody),
+        reader(HTTP_RESPONSE, http::kMaxBodyBytes),
         deadline(owner.shared_.loop, [this] { Over(0, -1, true); }),
         leaves(owner.shared_.loop, [this] { Leave(); }),
         stream(owner.shared_, owner.to_, 1'000'000, "client", *this) {}
   void OnData(std::string_view bytes) override {
     std::size_t used = 0;
-    const ReadState state = reader.Feed(bytes, used);
-    if (state == ReadState::kMore) return;
-    if (state != ReadState::kWhole || !client) return Over(0, -1, true);
-    const Message m = reader.TakeWhole();
+    const ParseState state = reader.Feed(bytes, used);
+    if (state == ParseState::kIncomplete) return;
+    if (state != ParseState::kComplete || !client) return Over(0, -1, true);
+    const Message m = reader.TakeMessage();
     Micros wait = -1;
     if (const auto* after = m.Find("Retry-After")) wait = static_cast<Micros>(std::stod(*after) * 1e6);
     // Guards the rule on lost requests: a 200 must hold what a worker made for this very request.
@@ -576,7 +576,7 @@
     if (m.status == 200 && !own) crowd.audit_.Break("served with another's result");
     Over(m.status, wait, !m.keep_alive);
   }
-  void OnUp() override { came_up = true; }
+  void OnConnected() override { came_up = true; }
   // The end of a resting connection may cross a request: that one is sent once more. It did where its end was
   // there before the request left, however much later a busy rig reads it. A connection that never came up
   // took nothing.
@@ -587,7 +587,7 @@
                                     (came_up ? "" : " that never came up"));
     if (!c.plan_.resends || !client) return Over(0, -1, true);
     const bool in_time = c.shared_.loop.Now() - client->sent < kCrossing + c.audit_.late();
-    const bool crossed = rested && !reader.begun() && (over_at_send || in_time);
+    const bool crossed = rested && !reader.started() && (over_at_send || in_time);
     if (!crossed && came_up) {
       std::fprintf(stderr, "at %.3f: %s lost, %lld ms after it was sent, on a %s connection\n",
                    static_cast<double>(c.shared_.loop.Now() - c.began_) / 1e6, client->id.c_str(),
@@ -636,7 +636,7 @@
     if (whose) c.Ended(whose, status, wait);
   }
   Crowd& crowd;
-  http::Reader reader;
+  http::MessageParser reader;
   static constexpr Micros kCrossing = 20'000;
   net::Timer deadline, leaves;
   bool came_up = false, rested = false;  // it has answered before
@@ -645,7 +645,7 @@
   net::Stream stream;
 };
 
-Crowd::Crowd(net::Shared& shared, Auditor& audit, const CrowdPlan& plan, const std::string& scheduler,
+Crowd::Crowd(net::StreamContext& shared, Auditor& audit, const CrowdPlan& plan, const std::string& scheduler,
              std::uint64_t seed)
     : shared_(shared),
       audit_(audit),
@@ -709,13 +709,13 @@
   audit_.Asked(client->id, plan_.keyed ? Auditor::Repeat::kSameZone : Auditor::Repeat::kFree);
   if (plan_.resends) audit_.GivesUp(client->id, client->sent + plan_.deadline);
   link->client = client;
-  link->over_at_send = link->came_up && link->stream.PeerGone();
+  link->over_at_send = link->came_up && link->stream.PeerClosed();
   link->deadline.Start(plan_.deadline + plan_.slack);
   if (plan_.leaves > 0 && Unit() < plan_.leaves)
     link->leaves.Start(static_cast<Micros>(Unit() * static_cast<double>(plan_.deadline)));
   const auto keep =
       *std::find_if(links_.begin(), links_.end(), [link](const auto& l) { return l.get() == link; });
-  link->stream.Write(http::WriteRequest("POST", plan_.keyed ? "/save" : "/preview", headers, "{}"));
+  link->stream.Write(http::FormatRequest("POST", plan_.keyed ? "/save" : "/preview", headers, "{}"));
 }
 
 // Once more, on another connection, what crossed the end of a resting one: under a new id.
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the settings text of an instance.
 #include "adapter/settings.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
     "limits.maxAttempts=6\nrules.coldFrom=0.3\nrules.warmUp=8900000\nrules.overloadFactor=4.0\nrules.fall="
     "1500000\n";
 
-TEST(SettingsText, ReadsWhatIsThereAndKeepsDefaultsElsewhere) {
+TEST(SettingsText, ReadsKeysAndKeepsDefaultsForAbsentOnes) {
   const auto parsed = ParseSettings(
       kRequired +
       "classes.1.keyScope=all\nclasses.1.keyTtl=40000000\nclasses.1.lateWorth=0.25\nclasses.1.value=3.0\n"
@@ -24,23 +25,23 @@
   const Settings& s = parsed.settings;
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].aim, 400000);
-  EXPECT_EQ(s.classes[0].effect, Effect::kSafe);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotent);
   EXPECT_EQ(s.classes[0].kind, -1);
-  EXPECT_EQ(s.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[1].scope, RepeatScope::kAll);
-  EXPECT_EQ(s.classes[1].key_window, 40000000);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kDeduplicated);
+  EXPECT_EQ(s.classes[1].dedup_scope, DedupScope::kAll);
+  EXPECT_EQ(s.classes[1].key_ttl, 40000000);
   EXPECT_EQ(s.classes[1].late_worth, 0.25);
   EXPECT_EQ(s.classes[1].worth, 3.0);
   EXPECT_EQ(s.classes[1].kind, 1);
-  EXPECT_EQ(s.classes[1].stretch, 1.5);
+  EXPECT_EQ(s.classes[1].aim_stretch, 1.5);
   EXPECT_EQ(s.kinds, 3);
   EXPECT_EQ(s.zones, 2);
   EXPECT_EQ(s.zone, 1);
   EXPECT_EQ(s.nodes, 7);
   EXPECT_TRUE(s.may_probe);
-  EXPECT_TRUE(s.second_copies);
+  EXPECT_TRUE(s.concurrent_attempts);
   EXPECT_FALSE(s.may_cancel);
-  EXPECT_TRUE(s.must_ask);
+  EXPECT_TRUE(s.must_subscribe);
   EXPECT_TRUE(s.reports_in_answers);
   EXPECT_EQ(s.tenants.at(0).allowance_per_s, 8.5);
   EXPECT_EQ(parsed.fields, (std::vector<ReportField>{ReportField::kFreeSlots, ReportField::kWaiting,
@@ -55,7 +56,7 @@
   EXPECT_FALSE(report->free_memory.has_value());
 }
 
-TEST(SettingsText, NamesTheRequiredKeyThatIsMissingOrUnreadable) {
+TEST(SettingsText, NamesARequiredKeyThatIsMissingOrInvalid) {
   std::size_t at = 0;
   while (at < kRequired.size()) {
     const auto end = kRequired.find('\n', at);
@@ -76,7 +77,7 @@
   }
 }
 
-TEST(SettingsText, ACountThatIsNonsenseIsRefused) {
+TEST(SettingsText, RejectsImplausibleCounts) {
   EXPECT_THROW(ParseSettings("classes.count=1e12\n"), SettingsError);
   EXPECT_THROW(ParseSettings("classes.count=-1\n"), SettingsError);
 }
